--- a/crates/bench/benches/carried.rs
+++ b/crates/bench/benches/carried.rs
@@ -3,9 +3,9 @@
 
 use loftdrift_bench::{BACKENDS, SERVICES, caller_address, median, service_address, time};
 use loftdrift_carried::{
-    BackendCondition, CarriedBalancer, CarriedBalancerSettings, CarriedConfiguration, FlowMemory,
-    Heartbeat, LoadReport, Message, Node, NodeRole, Output, Part, PlainFormat, Policies, Position,
-    Route, Segment, Version,
+    BackendCondition, CarriedBalancer, CarriedBalancerSettings, CarriedConfiguration,
+    FlowKnowledge, Heartbeat, LoadReport, Message, Node, NodeRole, Output, PlainFormat, Policies,
+    Position, Route, RouteTarget, Segment, Version,
 };
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 use std::alloc::System;
@@ -31,8 +31,8 @@
 fn configuration(services: u32) -> CarriedConfiguration {
     let route = |number: u32| Route {
         address: service_address(number),
-        parts: vec![Part { service: format!("service-{number}"), weight: 1 }],
-        aim_ms: 250,
+        targets: vec![RouteTarget { service: format!("service-{number}"), weight: 1 }],
+        target_latency_ms: 250,
         priority: 1,
         regions: Vec::new(),
     };
@@ -59,20 +59,20 @@
         },
         digest: 0,
         confirmation: None,
-        store_returns: 0,
+        store_restores: 0,
         report: Some(LoadReport {
             service: format!("service-{service}"),
             condition: BackendCondition::Accepting,
             capacity: 7,
             waiting: 3,
-            in_line: 0,
-            work_us: 55_000,
+            queued: 0,
+            service_time_us: 55_000,
             measured_ms_ago: 0,
             is_cold: false,
-            cold_room: None,
-            begun_ms_ago: None,
-            memory: FlowMemory::Whole,
-            up_ms: None,
+            cold_allowance: None,
+            backend_age_ms: None,
+            memory: FlowKnowledge::Complete,
+            uptime_ms: None,
         }),
         wants_reply: false,
     })
@@ -95,7 +95,7 @@
 /// Opens a flow: the packet of the caller, the offer, the agent's answer.
 fn open(balancer: &mut CarriedBalancer, now: Duration, flow: u64, service: u32) {
     let head = Segment::between(caller_address(flow), service_address(service));
-    let opening = PlainFormat::write(&Segment { opens: true, ..head }, &[]);
+    let opening = PlainFormat::write(&Segment { syn: true, ..head }, &[]);
     balancer.handle_caller(now, &opening);
     let Some((agent, number)) = drain(balancer) else { return };
     let Message::Heartbeat(heartbeat) = heartbeat(service) else { return };
--- a/crates/bench/benches/lookups.rs
+++ b/crates/bench/benches/lookups.rs
@@ -3,9 +3,9 @@
 
 use loftdrift_bench::{caller_address, median, service_address, time};
 use loftdrift_carried::{
-    BackendCondition, CarriedBalancer, CarriedBalancerSettings, CarriedConfiguration, FlowWord,
-    Heartbeat, LoadReport, Message, Node, NodeRole, Output, Part, PlainFormat, Policies, Route,
-    Segment, Version, Word,
+    BackendCondition, CarriedBalancer, CarriedBalancerSettings, CarriedConfiguration, FlowAnswer,
+    FlowStatus, Heartbeat, LoadReport, Message, Node, NodeRole, Output, PlainFormat, Policies,
+    Route, RouteTarget, Segment, Version,
 };
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -40,7 +40,7 @@
         configuration: Version { number: 1, ..Version::default() },
         digest: 0,
         confirmation: None,
-        store_returns: 0,
+        store_restores: 0,
         report: Some(report),
         wants_reply: false,
     })
@@ -64,9 +64,14 @@
         },
         PlainFormat,
     );
-    let parts = vec![Part { service: "service".to_owned(), weight: 1 }];
-    let route =
-        Route { address: service_address(0), parts, aim_ms: 250, priority: 1, regions: Vec::new() };
+    let targets = vec![RouteTarget { service: "service".to_owned(), weight: 1 }];
+    let route = Route {
+        address: service_address(0),
+        targets,
+        target_latency_ms: 250,
+        priority: 1,
+        regions: Vec::new(),
+    };
     let routes = vec![route];
     let services = Vec::new();
     let idle_timeout_ms = 15_000;
@@ -97,20 +102,22 @@
 /// A packet of a flow that is not remembered, until one of the agents asked has answered.
 fn search(balancer: &mut CarriedBalancer, now: Duration, flow: u64, cost: &mut Cost) {
     let head = Segment::between(caller_address(flow), service_address(0));
-    let segment = Segment { acknowledges: true, acknowledgement: 7, ..head };
+    let segment = Segment { ack: true, acknowledgement: 7, ..head };
     balancer.handle_caller(now, &PlainFormat::write(&segment, b"data"));
     balancer.handle_timeout(now);
     let mut holder = None;
     while let Some(output) = balancer.take_output() {
-        if let Output::ToPeer { to, message: message @ Message::Find { .. } } = output {
+        if let Output::ToPeer { to, message: message @ Message::Lookup { .. } } = output {
             cost.questions += 1;
             cost.bytes += message.encode().len() as u64;
             holder = Some((to, message));
         }
     }
-    let Some((to, Message::Find { questions })) = holder else { return };
-    let words = questions.iter().map(|question| FlowWord { flow: question.flow, word: Word::Held });
-    let found = Message::Found { up_ms: 0, words: words.collect() };
+    let Some((to, Message::Lookup { queries })) = holder else { return };
+    let answers = queries
+        .iter()
+        .map(|question| FlowAnswer { flow: question.flow, status: FlowStatus::Owned });
+    let found = Message::LookupReply { uptime_ms: 0, answers: answers.collect() };
     balancer.handle_peer(now, to, &found.encode());
     while balancer.take_output().is_some() {}
 }
--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -1,7 +1,7 @@
 //! Whether the back end takes new flows, and what balancers are told of it.
 
 use super::*;
-use crate::message::FlowMemory;
+use crate::message::FlowKnowledge;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// Has balancers hear of a condition that they were not told.
@@ -14,7 +14,7 @@
             }
             let (from, to) = (format!("{before:?}"), format!("{after:?}"));
             log::info!(backend = cause, from = from.as_str(), to = to.as_str(), waiting = self.waiting; "backend_changed");
-            self.standing.membership.hurry(now);
+            self.standing.membership.spread_news(now);
         }
     }
 
@@ -65,11 +65,11 @@
     }
 
     /// Which flows of the back end are known here.
-    fn memory(&self, now: Duration) -> FlowMemory {
+    fn memory(&self, now: Duration) -> FlowKnowledge {
         match self.may_have_forgotten && now < self.settings.longest_flow {
-            false => FlowMemory::Whole,
-            true if self.seems_fresh => FlowMemory::Presumed,
-            true => FlowMemory::Partial,
+            false => FlowKnowledge::Complete,
+            true if self.seems_fresh => FlowKnowledge::PresumedComplete,
+            true => FlowKnowledge::Partial,
         }
     }
 
@@ -81,14 +81,14 @@
             condition: self.condition(now),
             capacity: self.backend.capacity(),
             waiting: self.waiting.min(u32::from(u16::MAX)) as u16,
-            in_line: self.line.len().min(usize::from(u16::MAX)) as u16,
-            work_us: self.work.mean_us(),
+            queued: self.line.len().min(usize::from(u16::MAX)) as u16,
+            service_time_us: self.work.mean_us(),
             measured_ms_ago: self.work.measured_ms_ago(now),
             is_cold: self.is_cold(now),
-            cold_room: self.cold_room(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
-            begun_ms_ago: begun_at.map(|at| up_ms(now.saturating_sub(at))),
+            cold_allowance: self.cold_room(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
+            backend_age_ms: begun_at.map(|at| up_ms(now.saturating_sub(at))),
             memory: self.memory(now),
-            up_ms: is_young.then(|| up_ms(now)),
+            uptime_ms: is_young.then(|| up_ms(now)),
         }
     }
 }
--- a/crates/carried/src/agent/finding.rs
+++ b/crates/carried/src/agent/finding.rs
@@ -5,7 +5,7 @@
 
 use super::condition::up_ms;
 use super::*;
-use crate::message::{FlowQuestion, FlowWord, Word};
+use crate::message::{FlowAnswer, FlowQuery, FlowStatus};
 
 /// A back end that lives has sent a heartbeat so long after its agent's start.
 const FIRST_REPORT_PATIENCE: Duration = Duration::from_millis(1_500);
@@ -16,17 +16,17 @@
         &mut self,
         now: Duration,
         from: SocketAddrV4,
-        questions: &[FlowQuestion],
+        questions: &[FlowQuery],
     ) {
         self.counters.lookups_received += questions.len() as u64;
-        let mut answer = |question: &FlowQuestion| {
-            let word = self.word(now, from, &question.flow.into(), question.acknowledged);
-            FlowWord { flow: question.flow, word }
+        let mut answer = |question: &FlowQuery| {
+            let status = self.word(now, from, &question.flow.into(), question.acknowledged);
+            FlowAnswer { flow: question.flow, status }
         };
-        let words = questions.iter().map(&mut answer).collect();
+        let answers = questions.iter().map(&mut answer).collect();
         self.outputs.push_back(Output::ToPeer {
             to: from,
-            message: Message::Found { up_ms: up_ms(now), words },
+            message: Message::LookupReply { uptime_ms: up_ms(now), answers },
         });
     }
 
@@ -37,26 +37,26 @@
         balancer: SocketAddrV4,
         flow: &FlowKey,
         acknowledged: Option<u32>,
-    ) -> Word {
+    ) -> FlowStatus {
         if self.watch.has_ended {
-            return Word::Absent;
+            return FlowStatus::Absent;
         }
         if let Some(known) = self.flows.find(flow).and_then(|id| self.flows.get_mut(id)) {
             return match &mut known.body {
                 // The back end has not told yet.
-                body if body.phase == Phase::Tried => Word::Unsure,
+                body if body.phase == Phase::Tried => FlowStatus::Unknown,
                 body if body.acknowledges(acknowledged) => {
                     body.balancer = balancer;
-                    Word::Held
+                    FlowStatus::Owned
                 }
-                _ => Word::Absent,
+                _ => FlowStatus::Absent,
             };
         }
         if !self.may_have_forgotten(now, flow) {
-            return Word::Absent;
+            return FlowStatus::Absent;
         }
         let is_early = !self.knows_backend() && now < FIRST_REPORT_PATIENCE;
-        if is_early { Word::Early } else { Word::Unsure }
+        if is_early { FlowStatus::NotReady } else { FlowStatus::Unknown }
     }
 
     /// Has the back end tell whether it holds the flow of a packet.
@@ -74,15 +74,23 @@
         if may_live && !self.watch.has_ended {
             return self.deliver(now, from, datagram);
         }
-        let acknowledged = segment.acknowledges.then_some(segment.acknowledgement);
+        let acknowledged = segment.ack.then_some(segment.acknowledgement);
         let word = self.word(now, from, &flow, acknowledged);
         self.tell_word(now, from, flow, word);
     }
 
-    pub(super) fn tell_word(&mut self, now: Duration, to: SocketAddrV4, flow: FlowKey, word: Word) {
-        let words = vec![FlowWord { flow: flow.into(), word }];
-        self.outputs
-            .push_back(Output::ToPeer { to, message: Message::Found { up_ms: up_ms(now), words } });
+    pub(super) fn tell_word(
+        &mut self,
+        now: Duration,
+        to: SocketAddrV4,
+        flow: FlowKey,
+        status: FlowStatus,
+    ) {
+        let answers = vec![FlowAnswer { flow: flow.into(), status }];
+        self.outputs.push_back(Output::ToPeer {
+            to,
+            message: Message::LookupReply { uptime_ms: up_ms(now), answers },
+        });
     }
 
     /// A packet of a flow whose back end has ended.
@@ -105,7 +113,7 @@
     /// The back end does not hold a flow that was open there: its caller is told at once.
     pub(super) fn tell_over(&mut self, balancer: SocketAddrV4, segment: &Segment, reason: &str) {
         let flow = segment.flow();
-        if !self.settings.policies.has(Policy::TellOver) {
+        if !self.settings.policies.is_enabled(Policy::ResetUnowned) {
             return;
         }
         self.counters.flows_reset += 1;
--- a/crates/carried/src/agent/flow.rs
+++ b/crates/carried/src/agent/flow.rs
@@ -1,6 +1,6 @@
 //! One flow, as far as its packets tell.
 
-use crate::segment::{LARGEST_WINDOW, Segment};
+use crate::segment::{MAX_WINDOW_BYTES, Segment};
 use loftdrift_wire::FlowKey;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -92,14 +92,14 @@
     /// Whether a packet without data that ends a flow stands behind data which has not come.
     pub(super) fn is_ahead_of_answer(&self, segment: &Segment) -> bool {
         let is_ahead = |known: u32| segment.sequence.wrapping_sub(known) as i32 > OPENING_NUMBERS;
-        let ends = segment.finishes && segment.payload_bytes == 0;
+        let ends = segment.fin && segment.payload_bytes == 0;
         ends && self.backend_end.is_some_and(is_ahead)
     }
 
     /// Whether a caller's packet can be of this flow and not of another one between the same
     /// addresses: it acknowledges what this flow's back end has sent.
     pub(super) fn acknowledges_here(&self, segment: &Segment) -> bool {
-        self.acknowledges(segment.acknowledges.then_some(segment.acknowledgement))
+        self.acknowledges(segment.ack.then_some(segment.acknowledgement))
     }
 
     /// The same of a packet's acknowledgement alone.
@@ -107,7 +107,7 @@
         let (Some(end), Some(acknowledged)) = (self.backend_end, acknowledged) else {
             return true;
         };
-        acknowledged.wrapping_sub(end).cast_signed().unsigned_abs() <= LARGEST_WINDOW
+        acknowledged.wrapping_sub(end).cast_signed().unsigned_abs() <= MAX_WINDOW_BYTES
     }
 
     /// Whether a caller's data can be of this flow by its own numbers too. Back ends' first numbers
@@ -118,7 +118,7 @@
         segment.payload_bytes == 0
             || known.is_none_or(|known| {
                 let distance = segment.sequence.wrapping_sub(known).cast_signed();
-                distance.unsigned_abs() <= LARGEST_WINDOW
+                distance.unsigned_abs() <= MAX_WINDOW_BYTES
             })
     }
 
@@ -139,7 +139,7 @@
     pub(super) fn last_segment(&self, key: &FlowKey) -> Option<Segment> {
         let acknowledgement = self.caller_acknowledges?;
         let head = Segment::between(key.caller, key.service);
-        Some(Segment { acknowledges: true, acknowledgement, ..head })
+        Some(Segment { ack: true, acknowledgement, ..head })
     }
 
     /// Whether a caller's packet shows that the flow is open here: its back end has sent something,
@@ -147,7 +147,7 @@
     pub(super) fn is_open_here(&self, segment: &Segment) -> bool {
         let is_over =
             self.backend_left || matches!(self.phase, Phase::Offered { .. } | Phase::Closing);
-        let is_known = self.backend_end.is_some() && segment.acknowledges;
+        let is_known = self.backend_end.is_some() && segment.ack;
         !is_over && is_known && self.acknowledges_here(segment)
     }
 }
--- a/crates/carried/src/agent/knowledge.rs
+++ b/crates/carried/src/agent/knowledge.rs
@@ -45,7 +45,7 @@
         if !answers {
             return;
         }
-        self.standing.store.confirm(now);
+        self.standing.store.note_confirmed(now);
         if let Some(balancer) = asked {
             // It hears the version, and fetches it from here if it is newer.
             self.send_heartbeat(now, balancer, false);
--- a/crates/carried/src/agent/line.rs
+++ b/crates/carried/src/agent/line.rs
@@ -224,7 +224,7 @@
         admission: Admission,
         refusal: Option<DeclineReason>,
     ) -> bool {
-        let is_line = matches!(admission, Admission::Line { .. }) && refusal.is_none();
+        let is_line = matches!(admission, Admission::WaitQueue { .. }) && refusal.is_none();
         let Some(waiting) = self.line.get_mut(&copy.flow) else { return false };
         let is_copy = waiting.opened_with == copy.opened_with;
         let stays = is_line || refusal == Some(DeclineReason::Busy);
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -28,17 +28,17 @@
 use self::watch::Watch;
 use crate::backend::Backend;
 use crate::breaker::{Breaker, BreakerState};
+use crate::cluster_state::{Adoption, ClusterState};
 use crate::configuration::CarriedConfiguration;
 use crate::counters::CarriedAgentCounters;
 use crate::latency::AgentLatency;
-use crate::load::WorkMeter;
+use crate::load::ServiceTimeMeter;
 use crate::membership::{Membership, Node};
 use crate::message::{Admission, BackendCondition, DeclineReason, LoadReport, Message, Snapshot};
 use crate::output::Output;
 use crate::plain_format::PlainFormat;
 use crate::policy::{Policies, Policy};
 use crate::segment::{Segment, SegmentFormat, flow_name};
-use crate::standing::{Adoption, Standing};
 use crate::version::Version;
 use loftdrift_counters::Histogram;
 use loftdrift_flow::{FlowId, FlowTable};
@@ -96,7 +96,7 @@
 pub struct CarriedAgent<F = PlainFormat> {
     settings: CarriedAgentSettings,
     format: F,
-    standing: Standing,
+    standing: ClusterState,
     backend: Backend,
     /// Whose heartbeat named another service last.
     foreign_writer: Option<String>,
@@ -108,7 +108,7 @@
     waiting: u32,
     /// Requests that the back end has and has not answered, overdue ones left out.
     working: u32,
-    work: WorkMeter,
+    work: ServiceTimeMeter,
     breaker: Breaker,
     cold_gate: ColdGate,
     /// The back end may have turned cold since its last heartbeat: it was evacuated.
@@ -140,7 +140,7 @@
     /// An agent that has just started and knows nothing but its settings.
     pub fn new(settings: CarriedAgentSettings, format: F) -> Self {
         CarriedAgent {
-            standing: Standing::new(settings.node.clone()),
+            standing: ClusterState::new(settings.node.clone()),
             backend: Backend::new(settings.service.clone()),
             foreign_writer: None,
             may_have_forgotten: !settings.is_first_start,
@@ -159,7 +159,7 @@
             foreign_order: VecDeque::new(),
             waiting: 0,
             working: 0,
-            work: WorkMeter::default(),
+            work: ServiceTimeMeter::default(),
             breaker: Breaker::new(),
             watch: Watch::default(),
             unanswered: 0,
@@ -206,7 +206,7 @@
         self.stopping = true;
         self.empty_line(now, DeclineReason::NotAccepting);
         self.hurry_watch(now);
-        self.standing.membership.hurry(now);
+        self.standing.membership.spread_news(now);
         log::info!(waiting = self.waiting; "draining");
     }
 
@@ -214,7 +214,7 @@
     pub fn resume(&mut self, now: Duration) {
         self.stale_until = now + STALE_OFFERS;
         self.counters.standstills += 1;
-        self.standing.membership.hurry(now);
+        self.standing.membership.spread_news(now);
         log::warn!(waiting = self.waiting; "resumed_after_standstill");
     }
 
@@ -236,8 +236,8 @@
                 self.handle_offer(now, from, number, &service, admission, datagram);
             }
             Some(Message::Forward { datagram }) => self.deliver(now, from, datagram),
-            Some(Message::Find { questions }) => self.handle_find(now, from, &questions),
-            Some(Message::Try { datagram }) => self.handle_try(now, from, datagram),
+            Some(Message::Lookup { queries }) => self.handle_find(now, from, &queries),
+            Some(Message::TryForward { datagram }) => self.handle_try(now, from, datagram),
             Some(Message::ReadStore) => {
                 self.counters.store_errands += 1;
                 self.errand_of = Some(from);
@@ -245,7 +245,7 @@
             }
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
             Some(Message::Heartbeat(heartbeat)) => {
-                let (is_new, fetch) = self.standing.hear(now, from, &heartbeat);
+                let (is_new, fetch) = self.standing.on_heartbeat(now, from, &heartbeat);
                 self.outputs.extend(fetch);
                 if is_new {
                     self.send_heartbeat(now, from, false);
@@ -262,7 +262,7 @@
             self.flows.next_wake_up(),
             self.standing.membership.next_due(),
             self.condition_changes_at(),
-            self.standing.next_end(),
+            self.standing.next_retention_end(),
             self.next_question(),
             self.line.next_expiry(),
         ];
@@ -280,7 +280,7 @@
             self.tell_change(now, "rested");
         }
         let was_evacuated = self.is_evacuated();
-        if self.standing.end_evacuations(now) {
+        if self.standing.expire_evacuations(now) {
             self.may_be_cold |= was_evacuated;
             self.tell_change(now, "evacuation_lapsed");
         }
@@ -304,9 +304,9 @@
             in_line: self.line.len() as u64,
             peers: self.standing.membership.len() as u64,
             configuration_version: self.standing.configuration.version.number,
-            configuration_newest_heard: self.standing.newest_heard().number,
+            configuration_newest_heard: self.standing.newest_reported().number,
             configuration_revision: self.standing.configuration.version.position.revision,
-            store_era: self.standing.newest_heard().position.era,
+            store_era: self.standing.newest_reported().position.era,
             configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
             work_microseconds: u64::from(self.work.mean_us()),
             ..self.counters
--- a/crates/carried/src/agent/offers.rs
+++ b/crates/carried/src/agent/offers.rs
@@ -56,8 +56,8 @@
             return self.decline(now, from, number, &flow, reason);
         }
         match admission {
-            Admission::Line { within_ms, patience_ms, priority } => {
-                let expires_at = now + milliseconds(patience_ms);
+            Admission::WaitQueue { within_ms, attempt_remaining_ms, priority } => {
+                let expires_at = now + milliseconds(attempt_remaining_ms);
                 let entry = InLine { expires_at, ..entry };
                 self.admit_to_line(now, entry, milliseconds(within_ms), priority);
             }
@@ -85,7 +85,7 @@
             return Some(reason);
         }
         // It waits for as long as there is no room.
-        if matches!(admission, Admission::Line { .. }) {
+        if matches!(admission, Admission::WaitQueue { .. }) {
             return None;
         }
         if self.cold_room(now) == Some(0) {
@@ -99,8 +99,8 @@
         let limit = match admission {
             Admission::FreeSlot => capacity,
             Admission::Spare => (capacity * SPARE_OF_THREE / 3).max(1),
-            _ if !self.settings.policies.has(Policy::QueueLimit) => u32::MAX,
-            Admission::Line { .. } => u32::MAX,
+            _ if !self.settings.policies.is_enabled(Policy::QueueLimit) => u32::MAX,
+            Admission::WaitQueue { .. } => u32::MAX,
             Admission::Within(milliseconds) | Admission::Failing(milliseconds) => {
                 let budget = Duration::from_millis(u64::from(milliseconds));
                 self.work.admission_limit(capacity, budget)
@@ -140,7 +140,7 @@
         let report = self.report(now);
         log::info!(
             flow = flow_name(flow).as_str(), reason = reason.name(), balancer:% = to, waiting = report.waiting,
-            capacity = report.capacity, work_us = report.work_us; "offer_declined"
+            capacity = report.capacity, work_us = report.service_time_us; "offer_declined"
         );
         let message = Message::Declined { number, reason, report };
         self.outputs.push_back(Output::ToPeer { to, message });
--- a/crates/carried/src/agent/outcomes.rs
+++ b/crates/carried/src/agent/outcomes.rs
@@ -54,7 +54,7 @@
     /// Moves the breaker by a request's outcome.
     pub(super) fn note_outcome(&mut self, now: Duration, flow: &FlowKey, outcome: RequestOutcome) {
         let failed = outcome.is_failure();
-        let has_breaker = self.settings.policies.has(Policy::Breaker);
+        let has_breaker = self.settings.policies.is_enabled(Policy::Breaker);
         let opened = has_breaker && self.breaker.record(now, failed);
         if failed {
             self.counters.requests_failed += 1;
--- a/crates/carried/src/agent/packets.rs
+++ b/crates/carried/src/agent/packets.rs
@@ -1,7 +1,7 @@
 //! Packets of flows, to the back end and from it.
 
 use super::*;
-use crate::message::Word;
+use crate::message::FlowStatus;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// Passes a caller's packet to the back end when its flow lives here, or may live here as far
@@ -25,7 +25,7 @@
             return self.refuse_ended(now, from, id, &segment, datagram);
         }
         entry.body.balancer = from;
-        if segment.acknowledges {
+        if segment.ack {
             entry.body.caller_acknowledges = Some(segment.acknowledgement);
         }
         if segment.payload_bytes > 0 {
@@ -54,7 +54,7 @@
 
     pub(super) fn pass_back(&mut self, to: SocketAddrV4, datagram: Vec<u8>) {
         self.counters.packets_not_held += 1;
-        self.outputs.push_back(Output::ToPeer { to, message: Message::NotHeld { datagram } });
+        self.outputs.push_back(Output::ToPeer { to, message: Message::NotOwned { datagram } });
     }
 
     /// An agent that has not run for as long as a flow may last cannot know that a flow does not
@@ -80,9 +80,9 @@
     pub(super) fn follow_caller(&mut self, now: Duration, id: FlowId, segment: &Segment) {
         let Some(flow) = self.flows.get_mut(id) else { return };
         let body = &mut flow.body;
-        if segment.resets || segment.finishes {
+        if segment.rst || segment.fin {
             body.caller_left = true;
-            if !body.phase.is_waiting() || segment.resets {
+            if !body.phase.is_waiting() || segment.rst {
                 self.set_phase(now, id, Phase::Closing);
             }
             return;
@@ -120,7 +120,7 @@
         self.silent_until = None;
         self.watch.note_sign();
         let flow = segment.flow_of_answer();
-        if segment.resets && self.is_trial(&flow) {
+        if segment.rst && self.is_trial(&flow) {
             // The back end speaks of an earlier flow between the same addresses.
             return self.end_trial(now, flow);
         }
@@ -144,7 +144,7 @@
     pub(super) fn end_trial(&mut self, now: Duration, flow: FlowKey) {
         let Some(id) = self.flows.find(&flow) else { return };
         if let Some(balancer) = self.flows.get(id).map(|flow| flow.body.balancer) {
-            self.tell_word(now, balancer, flow, Word::Absent);
+            self.tell_word(now, balancer, flow, FlowStatus::Absent);
         }
         self.remove(now, id);
         self.remember_foreign(flow);
@@ -169,11 +169,11 @@
         let Some(flow) = self.flows.get_mut(id) else { return };
         let is_early = flow.body.is_ahead_of_answer(segment);
         flow.body.backend_end = Some(segment.end());
-        flow.body.backend_left |= segment.finishes || segment.resets;
+        flow.body.backend_left |= segment.fin || segment.rst;
         let (balancer, phase, since) = (flow.body.balancer, flow.body.phase, flow.body.since);
         let (key, caller_left) = (flow.key, flow.body.caller_left);
         match phase {
-            Phase::Offered { number } if segment.opens => {
+            Phase::Offered { number } if segment.syn => {
                 self.tell_placed(now, balancer, number);
                 self.latency.handshake.observe(now.saturating_sub(since));
                 self.set_phase(now, id, Phase::Answered);
@@ -189,17 +189,17 @@
             }
             // Packets overtake each other: the answer that this one stands behind is to come.
             Phase::Waiting { .. } if is_early => return,
-            Phase::Waiting { .. } if (segment.resets || segment.finishes) && !caller_left => {
+            Phase::Waiting { .. } if (segment.rst || segment.fin) && !caller_left => {
                 self.note_outcome(now, &key, RequestOutcome::BrokenOff);
             }
             Phase::Overdue if segment.payload_bytes > 0 => self.set_phase(now, id, Phase::Resting),
             Phase::Tried => {
-                self.tell_word(now, balancer, key, Word::Held);
+                self.tell_word(now, balancer, key, FlowStatus::Owned);
                 self.set_phase(now, id, Phase::Resting);
             }
             _ => {}
         }
-        if segment.finishes || segment.resets {
+        if segment.fin || segment.rst {
             self.set_phase(now, id, Phase::Closing);
         }
     }
@@ -213,7 +213,7 @@
         let Some(entry) = self.flows.get(id) else { return };
         let (balancer, phase) = (entry.body.balancer, entry.body.phase);
         match phase {
-            Phase::Offered { number } if segment.is_opening() => {
+            Phase::Offered { number } if segment.is_syn() => {
                 self.remove(now, id);
                 self.decline(now, balancer, number, &flow, DeclineReason::Returned);
             }
--- a/crates/carried/src/agent/phases.rs
+++ b/crates/carried/src/agent/phases.rs
@@ -32,7 +32,7 @@
     /// After how long a request that began with so many in the system is overdue.
     fn overdue_after(&self, in_system: u32) -> Duration {
         let capacity = u32::from(self.backend.capacity());
-        let expected = self.work.expected(in_system, capacity);
+        let expected = self.work.expected_latency(in_system, capacity);
         (expected * OVERDUE_TIMES).clamp(SOONEST_OVERDUE, LATEST_OVERDUE)
     }
 
--- a/crates/carried/src/agent/reports.rs
+++ b/crates/carried/src/agent/reports.rs
@@ -106,7 +106,7 @@
     /// The back end has started anew. Flows of its earlier start are over, but some may have opened
     /// since, before this heartbeat came: the back end tells which it holds.
     fn doubt_flows(&mut self, now: Duration) {
-        self.work = WorkMeter::default();
+        self.work = ServiceTimeMeter::default();
         self.breaker = Breaker::new();
         self.empty_line(now, DeclineReason::NotAccepting);
         for id in self.flows.ids() {
--- a/crates/carried/src/agent/watch.rs
+++ b/crates/carried/src/agent/watch.rs
@@ -95,14 +95,14 @@
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// The back end is to be asked at once, since the agent stops.
     pub(super) fn hurry_watch(&mut self, now: Duration) {
-        self.watch.is_urgent = self.settings.policies.has(Policy::Probes);
+        self.watch.is_urgent = self.settings.policies.is_enabled(Policy::Probes);
         self.watch.next = now;
     }
 
     /// When the back end is to be asked next.
     pub(super) fn next_question(&self) -> Option<Duration> {
         let next = self.watch.next_question();
-        next.filter(|_| self.settings.policies.has(Policy::Probes))
+        next.filter(|_| self.settings.policies.is_enabled(Policy::Probes))
     }
 
     pub(super) fn ask_backend(&mut self, now: Duration) {
--- a/crates/carried/src/backend.rs
+++ b/crates/carried/src/backend.rs
@@ -1,6 +1,6 @@
 //! The back end beside an agent, as it describes itself.
 
-use crate::incarnation::{Incarnation, Succession};
+use crate::incarnation::{Incarnation, StartOrder};
 use crate::message::BackendCondition;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -136,23 +136,23 @@
             return ReportOutcome::Updated;
         };
         match report.incarnation.compare(&known.incarnation) {
-            Succession::Same if report.sequence <= known.sequence => ReportOutcome::Outdated,
-            Succession::Same => {
+            StartOrder::Same if report.sequence <= known.sequence => ReportOutcome::Outdated,
+            StartOrder::Same => {
                 // A start that has said that it leaves does not come back.
                 let was_leaving = known.is_leaving;
                 self.know(now, report, was_leaving);
                 ReportOutcome::Updated
             }
-            Succession::Later => self.begin(now, report),
-            Succession::Earlier => self.take_backdated(now, report),
-            Succession::Unnamed => ReportOutcome::Outdated,
-            Succession::OtherId => self.take_other(now, report),
+            StartOrder::Later => self.begin(now, report),
+            StartOrder::Earlier => self.take_backdated(now, report),
+            StartOrder::MissingStartTime => ReportOutcome::Outdated,
+            StartOrder::OtherId => self.take_other(now, report),
         }
     }
 
     /// Takes a heartbeat under another id than the known one's.
     fn take_other(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
-        let came_before = |former| report.incarnation.compare(former) == Succession::Earlier;
+        let came_before = |former| report.incarnation.compare(former) == StartOrder::Earlier;
         if self.former.iter().any(came_before) {
             return ReportOutcome::Outdated;
         }
@@ -232,7 +232,7 @@
             Some(known) if ends(gone, &known.incarnation) => {
                 known.is_leaving = true;
                 known.has_departed = true;
-                over = if gone.born_ms.is_none() { &known.incarnation } else { gone };
+                over = if gone.started_at_ms.is_none() { &known.incarnation } else { gone };
             }
             Some(_) => {}
             // Its agent has forgotten it: from now on only another start is taken.
@@ -269,17 +269,20 @@
 
 /// Whether a heartbeat is one of a start that has said that it is gone, or of one before it.
 fn is_over(report: &BackendReport, gone: &Incarnation) -> bool {
-    match (report.incarnation.compare(gone), gone.born_ms) {
+    match (report.incarnation.compare(gone), gone.started_at_ms) {
         // Which start was meant was not told: the first ones of a start come after that.
-        (Succession::Later, None) => report.sequence > FIRST_SEQUENCES,
-        (Succession::Later | Succession::OtherId, _) => false,
-        (Succession::Same | Succession::Earlier | Succession::Unnamed, _) => true,
+        (StartOrder::Later, None) => report.sequence > FIRST_SEQUENCES,
+        (StartOrder::Later | StartOrder::OtherId, _) => false,
+        (StartOrder::Same | StartOrder::Earlier | StartOrder::MissingStartTime, _) => true,
     }
 }
 
 /// Whether a departure ends the known start: it is the one that goes, or has been followed by it.
 fn ends(gone: &Incarnation, known: &Incarnation) -> bool {
-    matches!(gone.compare(known), Succession::Same | Succession::Later | Succession::Unnamed)
+    matches!(
+        gone.compare(known),
+        StartOrder::Same | StartOrder::Later | StartOrder::MissingStartTime
+    )
 }
 
 /// Holds a start whose word is not believed yet.
--- a/crates/carried/src/balancer/audit.rs
+++ b/crates/carried/src/balancer/audit.rs
@@ -12,7 +12,7 @@
 
 use super::*;
 use crate::membership::ALIVE_INTERVALS;
-use crate::rank::draw;
+use crate::rank::stable_hash;
 
 /// Mean time between two audits of one auditor. What nobody needs to know sooner: an entry is read by
 /// nodes that start, which hear of others from peers as well.
@@ -81,7 +81,7 @@
     /// Asks for the list when it is time; only balancers that wait at the store do.
     pub(super) fn audit_when_due(&mut self, now: Duration, is_auditor: bool) {
         let has_returned = self.audit.note_returns(
-            self.standing.store.returns(),
+            self.standing.store.restores(),
             self.standing.configuration.version.position.era,
         );
         if !is_auditor {
@@ -110,7 +110,7 @@
     fn audit_share(&mut self) -> f64 {
         self.audit.planned += 1;
         let me = self.standing.membership.me().address;
-        draw(&me, &me, self.audit.planned) as f64 / u64::MAX as f64
+        stable_hash(&me, &me, self.audit.planned) as f64 / u64::MAX as f64
     }
 
     /// Compares the store's list with who lives: tells nodes whose entries are missing, and names the
@@ -127,8 +127,9 @@
         let patience = self.standing.membership.interval() * ALIVE_INTERVALS;
         let peers = self.standing.membership.peers();
         let is_missing = |address: &SocketAddrV4, peer: &Peer| {
-            let is_alive = peer.heard_at.is_some_and(|at| now.saturating_sub(at) <= patience);
-            let may_be_told = list.is_newest || peer.is_settled(now, SETTLING);
+            let is_alive =
+                peer.last_heartbeat_at.is_some_and(|at| now.saturating_sub(at) <= patience);
+            let may_be_told = list.is_newest || peer.is_known_for(now, SETTLING);
             is_alive && may_be_told && !has_entry.contains(address)
         };
         let missing = peers.filter(|(address, peer)| is_missing(address, peer));
@@ -147,7 +148,7 @@
     }
 
     fn is_dead(&self, now: Duration, address: &SocketAddrV4) -> bool {
-        let last_word = self.standing.membership.last_word(address).unwrap_or(now);
+        let last_word = self.standing.membership.last_heard_at(address).unwrap_or(now);
         let patience = (self.standing.membership.interval() * ALIVE_INTERVALS).max(GOODBYE_AFTER);
         let is_over = if self.has_said_goodbye(address) { patience } else { DEAD_AFTER };
         now.saturating_sub(last_word) >= is_over
--- a/crates/carried/src/balancer/errands.rs
+++ b/crates/carried/src/balancer/errands.rs
@@ -28,7 +28,7 @@
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
     pub(super) fn note_errand(&mut self, now: Duration, answers: bool) {
-        if !self.policies.has(Policy::StoreErrands) {
+        if !self.policies.is_enabled(Policy::DelegatedStoreReads) {
             return;
         }
         self.errands.next = match (answers, self.errands.next) {
@@ -40,7 +40,7 @@
 
     /// A reading has begun: it may hang.
     pub(super) fn note_reading(&mut self, now: Duration) {
-        if self.policies.has(Policy::StoreErrands) {
+        if self.policies.is_enabled(Policy::DelegatedStoreReads) {
             self.errands.next.get_or_insert(now + FIRST_AFTER);
         }
     }
--- a/crates/carried/src/balancer/established.rs
+++ b/crates/carried/src/balancer/established.rs
@@ -16,7 +16,7 @@
             );
         }
         let idle = self.idle_timeout();
-        let finishes = segment.finishes || segment.resets;
+        let finishes = segment.fin || segment.rst;
         match self.flows.touch(now, idle, &flow, finishes) {
             // What it held is over, as far as is known; whether it is, the search tells.
             Some(agent) if self.is_gone(now, &agent) || self.has_said_goodbye(&agent) => {
--- a/crates/carried/src/balancer/fence.rs
+++ b/crates/carried/src/balancer/fence.rs
@@ -41,7 +41,7 @@
 impl<F: SegmentFormat> CarriedBalancer<F> {
     /// The process has stood still for longer than any peer waits.
     pub fn resume(&mut self, now: Duration) {
-        if self.policies.has(Policy::Fence) {
+        if self.policies.is_enabled(Policy::AdmissionPause) {
             self.fence.raise(now);
         }
         self.acquaintance.note_standstill(now);
--- a/crates/carried/src/balancer/knowledge.rs
+++ b/crates/carried/src/balancer/knowledge.rs
@@ -48,7 +48,7 @@
         self.fence.lift(now);
         self.counters.configurations_adopted += 1;
         self.unrouted.note_routes(now);
-        self.standing.membership.hurry(now);
+        self.standing.membership.spread_news(now);
         true
     }
 }
--- a/crates/carried/src/balancer/lookup_order.rs
+++ b/crates/carried/src/balancer/lookup_order.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::lookup::{FIRST_BATCH, Lookup, Said};
-use crate::message::FlowMemory;
+use crate::message::FlowKnowledge;
 use crate::pool::SAMPLE;
 use crate::rank::Ranking;
 
@@ -18,7 +18,7 @@
         let asked = lookup.all_said().count();
         let most = (FIRST_BATCH << lookup.batches.min(8)).min(MOST_ASKED.saturating_sub(asked));
         let address = lookup.segment.flow().service;
-        let holders = self.routes.holders(&address);
+        let holders = self.routes.candidate_services(&address);
         let agents = holders.flat_map(|service| self.pool.of_service(service));
         let batch = self.first_open(now, lookup, agents.map(|(agent, _)| *agent), most);
         if !batch.is_empty() {
@@ -35,7 +35,7 @@
     /// Whether an agent may hold flows that it does not know.
     fn has_forgotten(&self, agent: &SocketAddrV4) -> bool {
         let Some(view) = self.pool.view(agent) else { return false };
-        view.memory() != FlowMemory::Whole && !self.acquaintance.lost_power(view.started_at())
+        view.memory() != FlowKnowledge::Complete && !self.acquaintance.lost_power(view.started_at())
     }
 
     /// The first of some agents whose word is not known, as the flow's ranking and new flows go.
@@ -58,7 +58,7 @@
         let is_unsure = |agent: &SocketAddrV4| {
             self.known_word(lookup, agent) == Some(Said::Unsure) && self.may_enter(&flow, agent)
         };
-        let holders = self.routes.holders(&flow.service);
+        let holders = self.routes.candidate_services(&flow.service);
         let of_holders = holders.flat_map(|service| self.pool.of_service(service));
         let likely: Vec<_> = of_holders.map(|(agent, _)| *agent).filter(is_unsure).collect();
         if !likely.is_empty() {
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -12,7 +12,7 @@
     FIRST_PAUSE, FIRST_TRIALS, LASTS, Lookup, MOST_TRIAL_DOUBLINGS, MOST_TRIALS, Said,
     TRIAL_PATIENCE, WORD_PATIENCE,
 };
-use crate::message::{FlowQuestion, FlowWord, MOST_FLOWS_ASKED, Word};
+use crate::message::{FlowAnswer, FlowQuery, FlowStatus, MAX_FLOWS_PER_MESSAGE};
 use crate::view::StartTime;
 
 /// Most searches under way; packets of further flows are left to their callers' repetitions.
@@ -80,7 +80,7 @@
         }
         self.counters.lookups_started += 1;
         let mut lookup = Lookup::new(now, *segment, datagram);
-        if let Some(before) = before.filter(|before| before.segment.is_near(segment)) {
+        if let Some(before) = before.filter(|before| before.segment.may_share_flow(segment)) {
             lookup.trials = before.trials;
         }
         let is_urgent = lookup.demands_answer();
@@ -162,8 +162,8 @@
     /// Sends the questions that have gathered, if it is time.
     pub(super) fn send_questions(&mut self, now: Duration) {
         for (to, questions) in self.questions.take_due(now) {
-            for part in questions.chunks(MOST_FLOWS_ASKED) {
-                let message = Message::Find { questions: part.to_vec() };
+            for part in questions.chunks(MAX_FLOWS_PER_MESSAGE) {
+                let message = Message::Lookup { queries: part.to_vec() };
                 self.outputs.push_back(Output::ToPeer { to, message });
             }
         }
@@ -192,7 +192,7 @@
         );
         for to in unsure {
             lookup.note(to, Said::Tried(now));
-            let message = Message::Try { datagram: datagram.clone() };
+            let message = Message::TryForward { datagram: datagram.clone() };
             self.outputs.push_back(Output::ToPeer { to, message });
         }
         self.lookups.wake_at(number, now + TRIAL_PATIENCE);
@@ -265,21 +265,25 @@
         now: Duration,
         from: SocketAddrV4,
         up_ms: u32,
-        words: &[FlowWord],
+        words: &[FlowAnswer],
     ) {
         let lost_power = self.acquaintance.lost_power(Some(StartTime::of(now, up_ms)));
         self.pool.note_alive(&from);
-        for FlowWord { flow, word } in words {
-            match word {
-                Word::Held => self.handle_held(now, from, (*flow).into()),
-                Word::Absent => self.handle_not_here(now, from, (*flow).into(), Said::Absent(now)),
+        for FlowAnswer { flow, status } in words {
+            match status {
+                FlowStatus::Owned => self.handle_held(now, from, (*flow).into()),
+                FlowStatus::Absent => {
+                    self.handle_not_here(now, from, (*flow).into(), Said::Absent(now))
+                }
                 // It would know the flow if it had been placed since everything lost power.
-                Word::Unsure if lost_power => {
+                FlowStatus::Unknown if lost_power => {
                     self.handle_not_here(now, from, (*flow).into(), Said::Absent(now));
                 }
-                Word::Unsure => self.handle_not_here(now, from, (*flow).into(), Said::Unsure),
+                FlowStatus::Unknown => {
+                    self.handle_not_here(now, from, (*flow).into(), Said::Unsure)
+                }
                 // It is asked again in a moment.
-                Word::Early => {}
+                FlowStatus::NotReady => {}
             }
         }
     }
@@ -382,8 +386,8 @@
 }
 
 /// The question whether the searched flow lives at an agent.
-fn question(lookup: &Lookup) -> FlowQuestion {
-    let Segment { acknowledges, acknowledgement, .. } = lookup.segment;
-    let acknowledged = acknowledges.then_some(acknowledgement);
-    FlowQuestion { flow: lookup.segment.flow().into(), acknowledged }
+fn question(lookup: &Lookup) -> FlowQuery {
+    let Segment { ack, acknowledgement, .. } = lookup.segment;
+    let acknowledged = ack.then_some(acknowledgement);
+    FlowQuery { flow: lookup.segment.flow().into(), acknowledged }
 }
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -34,6 +34,7 @@
 use self::store_watch::StoreWatch;
 use self::unrouted::Unrouted;
 use self::verdicts::Acquaintance;
+use crate::cluster_state::{Adoption, ClusterState};
 use crate::configuration::{CarriedConfiguration, RoutingTable};
 use crate::counters::CarriedBalancerCounters;
 use crate::flow_cache::FlowCache;
@@ -51,7 +52,6 @@
 use crate::pool::Pool;
 use crate::rank::Ranking;
 use crate::segment::{Segment, SegmentFormat, flow_name};
-use crate::standing::{Adoption, Standing};
 use crate::version::Version;
 use crate::view::{AgentView, Distance, Location};
 use loftdrift_counters::Histogram;
@@ -98,7 +98,7 @@
 /// A balancer.
 pub struct CarriedBalancer<F = PlainFormat> {
     format: F,
-    standing: Standing,
+    standing: ClusterState,
     routes: RoutingTable,
     pool: Pool,
     policies: Policies,
@@ -130,8 +130,8 @@
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         CarriedBalancer {
             format,
-            repair: Repair::new(settings.policies.has(Policy::RepairBudget)),
-            standing: Standing::new(settings.node),
+            repair: Repair::new(settings.policies.is_enabled(Policy::RepairBudget)),
+            standing: ClusterState::new(settings.node),
             routes: RoutingTable::default(),
             pool: Pool::new(settings.policies),
             policies: settings.policies,
@@ -197,7 +197,7 @@
         self.counters.packets_received += 1;
         match self.format.parse(datagram) {
             Err(_) => self.counters.packets_malformed += 1,
-            Ok(segment) if segment.is_opening() => self.handle_opening(now, &segment, datagram),
+            Ok(segment) if segment.is_syn() => self.handle_opening(now, &segment, datagram),
             Ok(segment) => self.handle_established(now, &segment, datagram),
         }
     }
@@ -214,9 +214,11 @@
             Some(Message::Queued { number, report }) => {
                 self.handle_queued(now, from, number, report);
             }
-            Some(Message::Found { up_ms, words }) => self.handle_found(now, from, up_ms, &words),
+            Some(Message::LookupReply { uptime_ms, answers }) => {
+                self.handle_found(now, from, uptime_ms, &answers)
+            }
             Some(Message::Ended { flow }) => self.handle_ended(now, from, flow.into()),
-            Some(Message::NotHeld { datagram }) => self.handle_not_held(now, from, &datagram),
+            Some(Message::NotOwned { datagram }) => self.handle_not_held(now, from, &datagram),
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
             Some(Message::Heartbeat(heartbeat)) => self.handle_heartbeat(now, from, heartbeat),
             _ => self.counters.messages_malformed += 1,
@@ -224,7 +226,7 @@
     }
 
     fn handle_heartbeat(&mut self, now: Duration, from: SocketAddrV4, heartbeat: Heartbeat) {
-        let (is_new, fetch) = self.standing.hear(now, from, &heartbeat);
+        let (is_new, fetch) = self.standing.on_heartbeat(now, from, &heartbeat);
         self.outputs.extend(fetch);
         self.compare_with_peer(now, heartbeat.configuration);
         let interval = self.standing.membership.interval();
@@ -266,7 +268,7 @@
             self.standing.membership.next_due(),
             self.errands.next(),
             self.audit.next(),
-            self.standing.next_end(),
+            self.standing.next_retention_end(),
             Some(self.next_store_step()),
         ];
         due.into_iter().flatten().min()
@@ -282,7 +284,7 @@
         while let Some(number) = self.lookups.pop_due(now) {
             self.wake_lookup(now, number);
         }
-        if self.standing.end_evacuations(now) {
+        if self.standing.expire_evacuations(now) {
             self.pool.evacuate(&self.standing.evacuated());
         }
         self.open_kept(now);
@@ -299,7 +301,7 @@
 
     /// Learns how late the timer that is due is served.
     fn note_lateness(&mut self, now: Duration) {
-        if !self.policies.has(Policy::OwnLateness) {
+        if !self.policies.is_enabled(Policy::SchedulingDelay) {
             return;
         }
         if let Some(due) = self.next_timeout().filter(|due| *due <= now) {
@@ -325,9 +327,9 @@
     pub fn counters(&self, now: Duration) -> CarriedBalancerCounters {
         CarriedBalancerCounters {
             configuration_version: self.standing.configuration.version.number,
-            configuration_newest_heard: self.standing.newest_heard().number,
+            configuration_newest_heard: self.standing.newest_reported().number,
             configuration_revision: self.standing.configuration.version.position.revision,
-            store_era: self.standing.newest_heard().position.era,
+            store_era: self.standing.newest_reported().position.era,
             configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
             flows: self.flows.len() as u64,
             agents: self.pool.len() as u64,
--- a/crates/carried/src/balancer/openings.rs
+++ b/crates/carried/src/balancer/openings.rs
@@ -50,7 +50,7 @@
             }
             return;
         };
-        let aim = match route.aim_ms {
+        let aim = match route.target_latency_ms {
             0 => DEFAULT_AIM,
             milliseconds => Duration::from_millis(u64::from(milliseconds)),
         };
@@ -79,7 +79,7 @@
     pub(super) fn may_repeat(&self, now: Duration, agent: SocketAddrV4, flow: &FlowKey) -> bool {
         let Some(view) = self.pool.view(&agent) else { return false };
         let route = self.routes.route(&flow.service);
-        let parts = route.map(|route| route.parts.as_slice()).unwrap_or_default();
+        let parts = route.map(|route| route.targets.as_slice()).unwrap_or_default();
         let is_part = parts.iter().any(|part| part.service == view.report.service);
         let is_allowed = route.is_some_and(|route| view.is_in(&route.regions));
         is_part && is_allowed && !view.is_suspect(now, self.standing.membership.interval())
@@ -115,12 +115,13 @@
         let is_last_free = opening.offers + 1 >= FREE_OFFERS;
         loop {
             let is_late = opening.is_late(now) && self.pool.is_recovering(now, &opening.service);
-            let has_line = self.policies.has(Policy::Line) && opening.patience(now).is_some();
+            let has_line =
+                self.policies.is_enabled(Policy::WaitQueue) && opening.patience(now).is_some();
             if opening.wants_line || (has_line && (is_late || is_scarce)) {
                 break;
             }
             // A place in the queue is for those that still meet their aim.
-            let may_queue = !is_late && self.policies.has(Policy::SecondRound);
+            let may_queue = !is_late && self.policies.is_enabled(Policy::SecondRound);
             opening.wants_queue |= (is_scarce || is_last_free) && may_queue;
             let most = if opening.wants_queue { MOST_QUEUE_ASKED } else { MOST_FREE_ASKED };
             let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
@@ -158,9 +159,9 @@
         let is_full = opening.was_declined(DeclineReason::Busy)
             || opening.was_declined(DeclineReason::Returned)
             || opening.was_declined(DeclineReason::Cold)
-            || (is_scarce && self.policies.has(Policy::Line))
+            || (is_scarce && self.policies.is_enabled(Policy::WaitQueue))
             || self.pool.is_known_full(now, interval, &opening.service);
-        if !is_full && self.policies.has(Policy::LastResort) {
+        if !is_full && self.policies.is_enabled(Policy::LastResort) {
             let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
                 !opening.has_asked(agent) && view.is_in(&opening.regions)
             };
@@ -211,7 +212,7 @@
     /// Offers a flow that nobody has room for to an agent where it may wait; `false` when there is
     /// none, or too little time.
     fn join_line(&mut self, now: Duration, number: u64) -> bool {
-        if !self.policies.has(Policy::Line) {
+        if !self.policies.is_enabled(Policy::WaitQueue) {
             return false;
         }
         let interval = self.standing.membership.interval();
@@ -275,9 +276,9 @@
         let budget_ms = budget.as_millis() as u32;
         let is_late = opening.is_late(now) && self.pool.is_recovering(now, &opening.service);
         let admission = match (opening.is_last_resort, opening.wants_queue) {
-            _ if opening.wants_line => Admission::Line {
+            _ if opening.wants_line => Admission::WaitQueue {
                 within_ms: if is_late { 0 } else { budget_ms.min(u32::from(u16::MAX)) as u16 },
-                patience_ms: opening.patience(now).unwrap_or_default().as_millis() as u16,
+                attempt_remaining_ms: opening.patience(now).unwrap_or_default().as_millis() as u16,
                 priority: opening.priority,
             },
             (true, _) => Admission::Failing(budget_ms),
--- a/crates/carried/src/balancer/store_watch.rs
+++ b/crates/carried/src/balancer/store_watch.rs
@@ -102,13 +102,13 @@
     /// Whether this balancer is to wait at the shared store.
     pub fn watches_store(&self, now: Duration) -> bool {
         let watch = &self.store_watch;
-        let is_chosen = watch.is_chosen || !self.policies.has(Policy::FewWatchers);
+        let is_chosen = watch.is_chosen || !self.policies.is_enabled(Policy::FewWatchers);
         is_chosen && now >= watch.rests_until
     }
 
     /// How often the shared store has come back after an absence, as far as is known.
     pub fn store_returns(&self) -> u32 {
-        self.standing.store.returns()
+        self.standing.store.restores()
     }
 
     /// Learns whether the shared store answers this balancer: all that it had is known by now.
@@ -117,16 +117,16 @@
         if !answers {
             let jitter = self.random.random_range(0.75..1.25);
             self.store_watch.rest(now, jitter);
-            let returns = self.standing.store.returns();
+            let returns = self.standing.store.restores();
             self.store_watch.lost_at.get_or_insert(returns);
             return;
         }
-        self.standing.store.confirm(now);
+        self.standing.store.note_confirmed(now);
         self.store_watch.failures = 0;
         self.store_watch.rests_until = Duration::ZERO;
         let lost_at = self.store_watch.lost_at.take();
-        if lost_at.is_some_and(|known| self.standing.store.note_return(known)) {
-            self.standing.membership.hurry(now);
+        if lost_at.is_some_and(|known| self.standing.store.note_restore(known)) {
+            self.standing.membership.spread_news(now);
         }
     }
 
@@ -197,7 +197,7 @@
     }
 
     fn review_watchers(&mut self, now: Duration) {
-        let places = self.standing.membership.places(now);
+        let places = self.standing.membership.balancer_ranks(now);
         let zones = (places.balancers / places.in_zone.max(1)).max(1);
         let in_zone = LEAST_IN_ZONE.max(LEAST_IN_ALL.div_ceil(zones));
         let is_chosen = places.rank_in_zone < in_zone;
--- a/crates/carried/src/balancer/verdicts.rs
+++ b/crates/carried/src/balancer/verdicts.rs
@@ -6,7 +6,7 @@
 use super::lookup_order::MOST_ASKED;
 use super::*;
 use crate::lookup::{Lookup, Said, WORD_PATIENCE};
-use crate::message::{BackendCondition, FlowMemory};
+use crate::message::{BackendCondition, FlowKnowledge};
 use crate::view::StartTime;
 
 /// An agent that has said nothing for so long has ended, whatever it held. Longer than planned
@@ -94,10 +94,11 @@
         let together = starts.iter().filter(|at| at.between(middle) <= TOGETHER).count();
         let with_backend = || self.pool.iter().filter(|(_, view)| view.has_backend());
         let heard = with_backend().count();
-        let presumed = with_backend().filter(|(_, view)| view.memory() == FlowMemory::Presumed);
+        let presumed =
+            with_backend().filter(|(_, view)| view.memory() == FlowKnowledge::PresumedComplete);
         let presumed = presumed.count();
         let is_joint = 20 * together >= 19 * self.pool.len();
-        let all_lost_power = self.policies.has(Policy::PowerLoss)
+        let all_lost_power = self.policies.is_enabled(Policy::PowerLoss)
             && is_joint
             && presumed >= LEAST_PRESUMED
             && 2 * presumed >= heard;
@@ -111,7 +112,7 @@
     pub(super) fn nobody_holds(&self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let is_asked_enough = lookup.has_answer() && self.pool.len() <= MOST_ASKED;
-        self.policies.has(Policy::TellOver)
+        self.policies.is_enabled(Policy::ResetUnowned)
             && lookup.demands_answer()
             && is_asked_enough
             && now >= self.acquaintance.enough_at()
@@ -173,7 +174,7 @@
         let in_vain = asked_in_vain.map(|asked_at| now.saturating_sub(asked_at.max(since)));
         let last_word = match self.pool.view(agent) {
             Some(view) => view.heard_at(),
-            None => self.standing.membership.last_word(agent).unwrap_or(now),
+            None => self.standing.membership.last_heard_at(agent).unwrap_or(now),
         };
         let silence = now.saturating_sub(last_word.max(since));
         let interval = self.standing.membership.interval();
--- a/crates/carried/src/standing.rs
+++ b/crates/carried/src/cluster_state.rs
@@ -1,11 +1,11 @@
 //! What a node knows of the system besides its own work: the members and the configuration.
 
 use crate::configuration::CarriedConfiguration;
-use crate::kept_evacuations::KeptEvacuations;
 use crate::membership::{Membership, Node};
 use crate::message::{Heartbeat, LoadReport, Message, NodeRole, Snapshot};
 use crate::output::Output;
-use crate::store_news::StoreNews;
+use crate::retained_evacuations::RetainedEvacuations;
+use crate::store_status::StoreStatus;
 use crate::version::Version;
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -24,36 +24,36 @@
 
 /// Members and configuration, as one node knows them.
 #[derive(Debug)]
-pub(crate) struct Standing {
+pub(crate) struct ClusterState {
     pub(crate) membership: Membership,
     /// Its version only ever comes to cover more.
     pub(crate) configuration: CarriedConfiguration,
     /// Digest of the configuration in force.
     digest: u64,
-    kept: KeptEvacuations,
+    retained: RetainedEvacuations,
     /// What is known of the shared store.
-    pub(crate) store: StoreNews,
+    pub(crate) store: StoreStatus,
     adopted_at: Duration,
-    newest_heard: Version,
+    newest_reported: Version,
 }
 
-impl Standing {
+impl ClusterState {
     /// A node that knows nothing but itself.
     pub(crate) fn new(node: Node) -> Self {
-        Standing {
+        ClusterState {
             membership: Membership::new(node),
             digest: CarriedConfiguration::default().digest(),
             configuration: CarriedConfiguration::default(),
-            kept: KeptEvacuations::default(),
-            store: StoreNews::default(),
+            retained: RetainedEvacuations::default(),
+            store: StoreStatus::default(),
             adopted_at: Duration::ZERO,
-            newest_heard: Version::default(),
+            newest_reported: Version::default(),
         }
     }
 
     /// The newest version that a peer has told of, or that is in force here.
-    pub(crate) fn newest_heard(&self) -> Version {
-        self.newest_heard.join(self.configuration.version)
+    pub(crate) fn newest_reported(&self) -> Version {
+        self.newest_reported.join(self.configuration.version)
     }
 
     /// Time since the configuration in force was adopted.
@@ -103,7 +103,7 @@
         let before = self.evacuated();
         let position = joined.version.position;
         if in_force.position.is_certain() && in_force.position.era != position.era {
-            self.kept.keep(now, before.clone());
+            self.retained.retain(now, before.clone());
         }
         self.raise_version(joined.version);
         self.configuration = joined;
@@ -115,26 +115,26 @@
 
     /// The zones that are evacuated, as far as is known here.
     pub(crate) fn evacuated(&self) -> BTreeSet<String> {
-        self.configuration.evacuated.union(self.kept.zones()).cloned().collect()
+        self.configuration.evacuated.union(self.retained.zones()).cloned().collect()
     }
 
     /// Whether a zone is evacuated, as far as is known here.
     pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
-        self.configuration.evacuated.contains(zone) || self.kept.zones().contains(zone)
+        self.configuration.evacuated.contains(zone) || self.retained.zones().contains(zone)
     }
 
     /// When evacuations that the store does not name end.
-    pub(crate) fn next_end(&self) -> Option<Duration> {
-        self.kept.ends_at()
+    pub(crate) fn next_retention_end(&self) -> Option<Duration> {
+        self.retained.ends_at()
     }
 
     /// Ends them when it is time; `true` when there were some.
-    pub(crate) fn end_evacuations(&mut self, now: Duration) -> bool {
-        if self.next_end().is_none_or(|at| now < at) {
+    pub(crate) fn expire_evacuations(&mut self, now: Duration) -> bool {
+        if self.next_retention_end().is_none_or(|at| now < at) {
             return false;
         }
         let before = self.evacuated();
-        self.kept.end();
+        self.retained.clear();
         self.log_evacuations(now, &before);
         true
     }
@@ -156,25 +156,25 @@
 
     /// Takes a peer's heartbeat; `true` when the peer is new. A peer that is ahead is asked for a
     /// snapshot.
-    pub(crate) fn hear(
+    pub(crate) fn on_heartbeat(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
         heartbeat: &Heartbeat,
     ) -> (bool, Option<Output>) {
         let heard = self.membership.on_heartbeat(now, from, heartbeat);
-        self.newest_heard = self.newest_heard.join(heartbeat.configuration);
-        self.hear_version(heartbeat);
+        self.newest_reported = self.newest_reported.join(heartbeat.configuration);
+        self.note_peer_version(heartbeat);
         let is_ahead = !self.configuration.version.covers(&heartbeat.configuration);
-        self.store.hear_returns(heartbeat.store_returns);
+        self.store.note_peer_restores(heartbeat.store_restores);
         if let Some(confirmation) = heartbeat.confirmation.filter(|_| !is_ahead) {
-            self.store.hear(now, confirmation);
+            self.store.on_confirmation(now, confirmation);
         }
         (heard.is_new, is_ahead.then_some(Output::FetchSnapshot { from }))
     }
 
     /// A peer that says the same knows up to which revision that holds.
-    fn hear_version(&mut self, heartbeat: &Heartbeat) {
+    fn note_peer_version(&mut self, heartbeat: &Heartbeat) {
         let version = self.configuration.version;
         if version.is_known() && heartbeat.digest == self.digest {
             self.raise_version(version.join(heartbeat.configuration));
@@ -208,7 +208,7 @@
             configuration: self.configuration.version,
             digest: self.digest,
             confirmation: self.store.confirmation(now),
-            store_returns: self.store.returns(),
+            store_restores: self.store.restores(),
             report,
             wants_reply,
         };
--- a/crates/carried/src/configuration.rs
+++ b/crates/carried/src/configuration.rs
@@ -13,7 +13,7 @@
 
 /// A service's share of a route's new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Part {
+pub struct RouteTarget {
     /// The service's name.
     pub service: String,
     /// Its weight beside the route's other parts.
@@ -26,9 +26,9 @@
     /// The address that callers dial.
     pub address: SocketAddrV4,
     /// The services that share its new flows; one for most routes.
-    pub parts: Vec<Part>,
+    pub targets: Vec<RouteTarget>,
     /// Within how many milliseconds an answer is worth all that it can be; 0 when not told.
-    pub aim_ms: u32,
+    pub target_latency_ms: u32,
     /// How urgent its requests are; 0 is the most urgent.
     pub priority: u8,
     /// The regions whose back ends may take its flows; any where none is named.
@@ -103,7 +103,7 @@
 }
 
 /// Most services that an address remembers to have stood for.
-const MOST_FORMER_SERVICES: usize = 4;
+const MAX_FORMER_SERVICES: usize = 4;
 
 #[derive(Debug)]
 struct TableEntry {
@@ -133,9 +133,9 @@
     }
 
     /// The services that may hold flows of an address: the route's parts, then former ones.
-    pub(crate) fn holders(&self, address: &SocketAddrV4) -> impl Iterator<Item = &str> {
+    pub(crate) fn candidate_services(&self, address: &SocketAddrV4) -> impl Iterator<Item = &str> {
         let entry = self.routes.get(address);
-        let parts = entry.into_iter().flat_map(|entry| &entry.route.parts);
+        let parts = entry.into_iter().flat_map(|entry| &entry.route.targets);
         let former = entry.into_iter().flat_map(|entry| &entry.former);
         parts.map(|part| part.service.as_str()).chain(former.map(String::as_str))
     }
@@ -149,15 +149,15 @@
 impl TableEntry {
     fn new(route: Route, before: Option<TableEntry>) -> Self {
         let mut former = Vec::new();
-        let mut credits = vec![0; route.parts.len()];
+        let mut credits = vec![0; route.targets.len()];
         if let Some(before) = before {
-            if before.route.parts == route.parts {
+            if before.route.targets == route.targets {
                 credits = before.credits;
             }
-            let earlier = before.route.parts.into_iter().map(|part| part.service);
+            let earlier = before.route.targets.into_iter().map(|part| part.service);
             for service in earlier.chain(before.former) {
-                let is_part = route.parts.iter().any(|part| part.service == service);
-                if !is_part && !former.contains(&service) && former.len() < MOST_FORMER_SERVICES {
+                let is_part = route.targets.iter().any(|part| part.service == service);
+                if !is_part && !former.contains(&service) && former.len() < MAX_FORMER_SERVICES {
                     former.push(service);
                 }
             }
@@ -166,14 +166,14 @@
     }
 
     fn next_service(&mut self) -> Option<String> {
-        let total: i64 = self.route.parts.iter().map(|part| i64::from(part.weight)).sum();
-        for (credit, part) in self.credits.iter_mut().zip(&self.route.parts) {
+        let total: i64 = self.route.targets.iter().map(|part| i64::from(part.weight)).sum();
+        for (credit, part) in self.credits.iter_mut().zip(&self.route.targets) {
             *credit += i64::from(part.weight);
         }
         let owed =
-            self.credits.iter().enumerate().filter(|(at, _)| self.route.parts[*at].weight > 0);
+            self.credits.iter().enumerate().filter(|(at, _)| self.route.targets[*at].weight > 0);
         let (best, _) = owed.max_by_key(|(at, credit)| (**credit, std::cmp::Reverse(*at)))?;
         self.credits[best] -= total;
-        Some(self.route.parts[best].service.clone())
+        Some(self.route.targets[best].service.clone())
     }
 }
--- a/crates/carried/src/incarnation.rs
+++ b/crates/carried/src/incarnation.rs
@@ -17,12 +17,12 @@
     /// The back end's id, which the next start may have again.
     pub id: String,
     /// When it started, in milliseconds of Unix time by its own clock; `None` where it tells none.
-    pub born_ms: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
 /// How one start stands to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Succession {
+pub(crate) enum StartOrder {
     /// They are the same start.
     Same,
     /// Under the same id, and born later.
@@ -30,35 +30,35 @@
     /// Under the same id, and born earlier.
     Earlier,
     /// Under the same id, but this word tells no birth where the other start did.
-    Unnamed,
+    MissingStartTime,
     /// Under another id.
     OtherId,
 }
 
 impl Incarnation {
     /// A start that tells no birth.
-    pub fn without_birth(id: impl Into<String>) -> Self {
-        Incarnation { id: id.into(), born_ms: None }
+    pub fn without_start_time(id: impl Into<String>) -> Self {
+        Incarnation { id: id.into(), started_at_ms: None }
     }
 
     /// How this start stands to another.
-    pub(crate) fn compare(&self, other: &Incarnation) -> Succession {
+    pub(crate) fn compare(&self, other: &Incarnation) -> StartOrder {
         if self.id != other.id {
-            return Succession::OtherId;
+            return StartOrder::OtherId;
         }
-        match (self.born_ms, other.born_ms) {
-            (None, Some(_)) => Succession::Unnamed,
-            (mine, theirs) if mine == theirs => Succession::Same,
+        match (self.started_at_ms, other.started_at_ms) {
+            (None, Some(_)) => StartOrder::MissingStartTime,
+            (mine, theirs) if mine == theirs => StartOrder::Same,
             // A back end that tells its birth from now on has started anew.
-            (mine, theirs) if mine > theirs => Succession::Later,
-            _ => Succession::Earlier,
+            (mine, theirs) if mine > theirs => StartOrder::Later,
+            _ => StartOrder::Earlier,
         }
     }
 }
 
 impl fmt::Display for Incarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self.born_ms {
+        match self.started_at_ms {
             Some(born_ms) => write!(formatter, "{}@{born_ms}", self.id),
             None => formatter.write_str(&self.id),
         }
--- a/crates/carried/src/lib.rs
+++ b/crates/carried/src/lib.rs
@@ -11,12 +11,12 @@
 mod backend;
 mod balancer;
 mod breaker;
+mod cluster_state;
 mod configuration;
 mod counters;
 mod flow_cache;
 mod incarnation;
 mod input_age;
-mod kept_evacuations;
 mod latency;
 mod load;
 mod lookup;
@@ -30,27 +30,28 @@
 mod policy;
 mod pool;
 mod rank;
+mod retained_evacuations;
 mod segment;
-mod standing;
-mod store_news;
+mod store_status;
 mod version;
 mod view;
 
 pub use agent::{CarriedAgent, CarriedAgentSettings, ProbeOutcome};
 pub use backend::{BackendReport, ReportOutcome};
 pub use balancer::{CarriedBalancer, CarriedBalancerSettings, ListedNode, NodeList};
-pub use configuration::{CarriedConfiguration, Part, Route, ServiceSettings};
+pub use configuration::{CarriedConfiguration, Route, RouteTarget, ServiceSettings};
 pub use counters::{CarriedAgentCounters, CarriedBalancerCounters};
 pub use incarnation::Incarnation;
 pub use input_age::InputAge;
 pub use membership::{Membership, Node, Peer};
 pub use message::{
-    Admission, BackendCondition, DeclineReason, FlowMemory, FlowName, FlowQuestion, FlowWord,
-    Heartbeat, LoadReport, MAX_MESSAGE_BYTES, MOST_FLOWS_ASKED, Message, NodeRole, Snapshot, Word,
+    Admission, BackendCondition, DeclineReason, FlowAnswer, FlowKnowledge, FlowName, FlowQuery,
+    FlowStatus, Heartbeat, LoadReport, MAX_FLOWS_PER_MESSAGE, MAX_MESSAGE_BYTES, Message, NodeRole,
+    Snapshot,
 };
 pub use output::Output;
 pub use plain_format::PlainFormat;
 pub use policy::{Policies, Policy, UnknownPolicy};
 pub use segment::{AnswerOutcome, Segment, SegmentError, SegmentFormat, flow_name};
-pub use store_news::Confirmation;
+pub use store_status::Confirmation;
 pub use version::{Position, Version};
--- a/crates/carried/src/load.rs
+++ b/crates/carried/src/load.rs
@@ -3,20 +3,20 @@
 use std::time::Duration;
 
 /// Share of a new measurement in the mean.
-const NEW_SHARE: f64 = 0.1;
+const MIN_SAMPLE_WEIGHT: f64 = 0.1;
 /// Slots' worth of requests that are taken at most before enough was measured.
-const UNMEASURED_ROUNDS: f64 = 2.0;
+const UNMEASURED_REQUESTS_PER_SLOT: f64 = 2.0;
 /// So many answers a slot are enough: those of fewer may all be short or long.
-const ENOUGH_ROUNDS: u32 = 2;
+const MIN_ANSWERS_PER_SLOT: u32 = 2;
 /// ... and never fewer than this.
-const ENOUGH_ANSWERS: u32 = 8;
+const MIN_ANSWERS: u32 = 8;
 
 /// Mean time that a request keeps a slot: the time that slots were busy for each answer.
 ///
 /// Requests still at work count with the time they have had. A mean over answers alone is that of the
 /// shortest requests while the first ones come, and lets in half as much again as can be answered in time.
 #[derive(Debug, Default)]
-pub(crate) struct WorkMeter {
+pub(crate) struct ServiceTimeMeter {
     /// Time that slots were busy, and answers in it; the same share of both is forgotten.
     busy_seconds: f64,
     answers: f64,
@@ -28,7 +28,7 @@
     measured: u32,
 }
 
-impl WorkMeter {
+impl ServiceTimeMeter {
     /// So many requests are at work from now on, on `capacity` slots.
     pub(crate) fn note_working(&mut self, now: Duration, working: u32, capacity: u32) {
         self.count(now);
@@ -46,8 +46,8 @@
         self.count(now);
         self.measured = self.measured.saturating_add(1);
         // A plain mean until the share of a new answer has fallen to its usual size.
-        let share = NEW_SHARE.max(1.0 / f64::from(self.measured));
-        let kept = if share > NEW_SHARE { 1.0 } else { 1.0 - share };
+        let share = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.measured));
+        let kept = if share > MIN_SAMPLE_WEIGHT { 1.0 } else { 1.0 - share };
         self.busy_seconds *= kept;
         self.answers = (self.answers + 1.0) * kept;
         self.measured_at = now;
@@ -71,7 +71,7 @@
 
     /// Mean time until an answer for a request that begins with so many in the system; nothing when
     /// no request was measured.
-    pub(crate) fn expected(&self, in_system: u32, capacity: u32) -> Duration {
+    pub(crate) fn expected_latency(&self, in_system: u32, capacity: u32) -> Duration {
         let crowding = (f64::from(in_system) / f64::from(capacity.max(1))).max(1.0);
         Duration::from_secs_f64(self.mean_seconds().unwrap_or(0.0) * crowding)
     }
@@ -79,15 +79,15 @@
     /// How many requests may be in the system so that the last one is answered within `budget`.
     pub(crate) fn admission_limit(&self, capacity: u32, budget: Duration) -> u32 {
         let rounds = match self.mean_seconds() {
-            Some(mean) => budget.as_secs_f64() / mean.max(LEAST_SECONDS),
-            None => UNMEASURED_ROUNDS,
+            Some(mean) => budget.as_secs_f64() / mean.max(MIN_MEAN_SECONDS),
+            None => UNMEASURED_REQUESTS_PER_SLOT,
         };
-        let is_enough = self.measured >= (capacity * ENOUGH_ROUNDS).max(ENOUGH_ANSWERS);
-        let rounds = if is_enough { rounds } else { rounds.min(UNMEASURED_ROUNDS) };
+        let is_enough = self.measured >= (capacity * MIN_ANSWERS_PER_SLOT).max(MIN_ANSWERS);
+        let rounds = if is_enough { rounds } else { rounds.min(UNMEASURED_REQUESTS_PER_SLOT) };
         let limit = f64::from(capacity) * rounds;
         (limit.min(f64::from(u16::MAX)) as u32).max(capacity)
     }
 }
 
 /// Least mean that a limit is reckoned with.
-const LEAST_SECONDS: f64 = 0.001;
+const MIN_MEAN_SECONDS: f64 = 0.001;
--- a/crates/carried/src/lookup.rs
+++ b/crates/carried/src/lookup.rs
@@ -102,7 +102,7 @@
     /// Whether the search still serves a packet: it is of the same flow and not of another one
     /// between the same addresses, and what was said so far is not old.
     pub(crate) fn serves(&self, now: Duration, segment: &Segment) -> bool {
-        self.segment.is_near(segment) && now.saturating_sub(self.started) < SAID_LASTS
+        self.segment.may_share_flow(segment) && now.saturating_sub(self.started) < SAID_LASTS
     }
 
     /// Another packet of the flow came.
@@ -143,7 +143,7 @@
 
     /// Whether the caller waits for something, and has not left.
     pub(crate) fn demands_answer(&self) -> bool {
-        self.segment.payload_bytes > 0 && !self.segment.finishes && !self.segment.resets
+        self.segment.payload_bytes > 0 && !self.segment.fin && !self.segment.rst
     }
 
     pub(crate) fn said(&self, agent: &SocketAddrV4) -> Option<Said> {
--- a/crates/carried/src/message.rs
+++ b/crates/carried/src/message.rs
@@ -1,7 +1,7 @@
 //! What nodes say to each other, in `bincode`, a message a datagram.
 
 use crate::configuration::CarriedConfiguration;
-use crate::store_news::Confirmation;
+use crate::store_status::Confirmation;
 use crate::version::Version;
 use bincode::{Decode, Encode};
 use std::net::SocketAddrV4;
@@ -31,11 +31,11 @@
     Spare,
     /// When there is room, or when the request can still be answered in time; until then it waits in
     /// the agent's line.
-    Line {
+    WaitQueue {
         /// In time is within so many milliseconds.
         within_ms: u16,
         /// The caller's try lasts for so many milliseconds more.
-        patience_ms: u16,
+        attempt_remaining_ms: u16,
         /// How urgent the route's requests are; 0 is the most urgent.
         priority: u8,
     },
@@ -73,36 +73,36 @@
     /// Requests that wait for an answer, those in work included.
     pub waiting: u16,
     /// New flows that wait until the back end has room.
-    pub in_line: u16,
+    pub queued: u16,
     /// Mean time from a request to its answer when slots were free, in microseconds; 0 before any
     /// was measured.
-    pub work_us: u32,
+    pub service_time_us: u32,
     /// Milliseconds since the last measurement of it.
     pub measured_ms_ago: u32,
     /// The back end is still slow from its start.
     pub is_cold: bool,
     /// New flows that it may still be given just now, where it is cold and a limit is told.
-    pub cold_room: Option<u16>,
+    pub cold_allowance: Option<u16>,
     /// Milliseconds since the back end's start, if this process of the agent has run ever since and
     /// is young.
-    pub begun_ms_ago: Option<u32>,
+    pub backend_age_ms: Option<u32>,
     /// Which flows of its back end the agent knows.
-    pub memory: FlowMemory,
+    pub memory: FlowKnowledge,
     /// Milliseconds since the agent's process started; `None` once it has run for as long as a flow
     /// lasts. By it balancers tell whether all processes started together.
-    pub up_ms: Option<u32>,
+    pub uptime_ms: Option<u32>,
 }
 
 /// Which flows of its back end an agent knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub enum FlowMemory {
+pub enum FlowKnowledge {
     /// All: the back end's very first heartbeat came to this process, or the process has run for as
     /// long as a flow lasts.
     #[default]
-    Whole,
+    Complete,
     /// All, if the back end started beside this process, as it seems to the agent alone. Where the
     /// same is seen beside nearly every agent, everything has lost power.
-    Presumed,
+    PresumedComplete,
     /// An earlier process of the agent may have placed flows that this one does not know. Asked for
     /// one of those it is unsure, so it need not be asked.
     Partial,
@@ -129,7 +129,7 @@
 
 impl DeclineReason {
     /// Whether the agent may have room in a moment.
-    pub(crate) fn may_pass(self) -> bool {
+    pub(crate) fn is_transient(self) -> bool {
         matches!(self, DeclineReason::Busy | DeclineReason::Returned | DeclineReason::Cold)
     }
 
@@ -158,7 +158,7 @@
 
 /// The question whether a flow lives at an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct FlowQuestion {
+pub struct FlowQuery {
     /// The flow.
     pub flow: FlowName,
     /// What its caller's last packet acknowledges.
@@ -167,28 +167,28 @@
 
 /// What an agent knows of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub enum Word {
+pub enum FlowStatus {
     /// It lives here.
-    Held,
+    Owned,
     /// It does not live here: the agent knows every flow of its back end.
     Absent,
     /// The agent does not know it; an earlier process of the agent may have placed it.
-    Unsure,
+    Unknown,
     /// The agent has not heard of its back end yet and will know soon.
-    Early,
+    NotReady,
 }
 
 /// An agent's word about a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct FlowWord {
+pub struct FlowAnswer {
     /// The flow.
     pub flow: FlowName,
     /// What the agent knows of it.
-    pub word: Word,
+    pub status: FlowStatus,
 }
 
 /// Most flows that one message asks for or answers about; it stays below [`MAX_MESSAGE_BYTES`].
-pub const MOST_FLOWS_ASKED: usize = 64;
+pub const MAX_FLOWS_PER_MESSAGE: usize = 64;
 
 /// What nodes tell each other without being asked.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -210,7 +210,7 @@
     /// The shared store's last word known to the sender that nothing newer was there.
     pub confirmation: Option<Confirmation>,
     /// How often the shared store has come back, as far as the sender knows.
-    pub store_returns: u32,
+    pub store_restores: u32,
     /// An agent's load.
     pub report: Option<LoadReport>,
     /// The sender does not know the receiver well and wants a heartbeat in return.
@@ -260,20 +260,20 @@
         datagram: Vec<u8>,
     },
     /// Balancer to agent: do these flows live there?
-    Find {
-        /// At most [`MOST_FLOWS_ASKED`].
-        questions: Vec<FlowQuestion>,
+    Lookup {
+        /// At most [`MAX_FLOWS_PER_MESSAGE`].
+        queries: Vec<FlowQuery>,
     },
     /// Agent to balancer: what it knows of flows that it was asked for, or that were tried.
-    Found {
+    LookupReply {
         /// Milliseconds since the agent's process started.
-        up_ms: u32,
+        uptime_ms: u32,
         /// A word for each.
-        words: Vec<FlowWord>,
+        answers: Vec<FlowAnswer>,
     },
     /// Balancer to agent: a packet of a flow that an earlier process of the agent may have placed;
     /// the back end is to tell.
-    Try {
+    TryForward {
         /// The packet.
         datagram: Vec<u8>,
     },
@@ -283,7 +283,7 @@
         flow: FlowName,
     },
     /// Agent to balancer: the flow of a forwarded packet does not live here.
-    NotHeld {
+    NotOwned {
         /// The packet, as its sender wrote it.
         datagram: Vec<u8>,
     },
--- a/crates/carried/src/opening.rs
+++ b/crates/carried/src/opening.rs
@@ -62,7 +62,7 @@
 
     /// Whether a place in the agent's line was asked for.
     fn wanted_line(&self) -> bool {
-        matches!(self.admission, Admission::Line { .. })
+        matches!(self.admission, Admission::WaitQueue { .. })
     }
 }
 
@@ -192,7 +192,7 @@
 
     /// Whether an agent was asked for a place in its line, or cannot give one.
     pub(crate) fn has_asked_line(&self, agent: &SocketAddrV4) -> bool {
-        let is_busy = |answer| matches!(answer, Answer::Declined(reason) if reason.may_pass());
+        let is_busy = |answer| matches!(answer, Answer::Declined(reason) if reason.is_transient());
         self.asked
             .iter()
             .any(|asked| asked.agent == *agent && (asked.wanted_line() || !is_busy(asked.answer)))
--- a/crates/carried/src/plain_format.rs
+++ b/crates/carried/src/plain_format.rs
@@ -12,10 +12,10 @@
     destination: SocketAddrV4,
     sequence: u32,
     acknowledgement: u32,
-    opens: bool,
-    acknowledges: bool,
-    finishes: bool,
-    resets: bool,
+    syn: bool,
+    ack: bool,
+    fin: bool,
+    rst: bool,
     payload_bytes: u16,
 }
 
@@ -39,10 +39,10 @@
             destination: segment.destination,
             sequence: segment.sequence,
             acknowledgement: segment.acknowledgement,
-            opens: segment.opens,
-            acknowledges: segment.acknowledges,
-            finishes: segment.finishes,
-            resets: segment.resets,
+            syn: segment.syn,
+            ack: segment.ack,
+            fin: segment.fin,
+            rst: segment.rst,
             payload_bytes: data.len() as u16,
         };
         let mut packet = vec![u8::from(segment.returned)];
@@ -75,20 +75,20 @@
             destination: head.destination,
             sequence: head.sequence,
             acknowledgement: head.acknowledgement,
-            opens: head.opens,
-            acknowledges: head.acknowledges,
-            finishes: head.finishes,
-            resets: head.resets,
+            syn: head.syn,
+            ack: head.ack,
+            fin: head.fin,
+            rst: head.rst,
             returned: *returned != 0,
             payload_bytes: head.payload_bytes,
         })
     }
 
     fn reset(&self, answered: &Segment) -> Vec<u8> {
-        let sequence = if answered.acknowledges { answered.acknowledgement } else { 0 };
+        let sequence = if answered.ack { answered.acknowledgement } else { 0 };
         let reset = Segment {
             sequence,
-            resets: true,
+            rst: true,
             ..Segment::between(answered.destination, answered.source)
         };
         PlainFormat::write(&reset, &[])
--- a/crates/carried/src/policy.rs
+++ b/crates/carried/src/policy.rs
@@ -15,31 +15,31 @@
     /// Agents that are suspect or whose back ends fail are asked where no other is left.
     LastResort,
     /// What is known of an agent drifts to what is typical of its service.
-    Drift,
+    EstimateDecay,
     /// A few agents are compared, not all.
-    Sample,
+    SampledChoice,
     /// A back end that is cold counts as slower.
     WeighCold,
     /// A back end whose requests take longer counts as slower.
-    WeighWork,
+    WeighServiceTime,
     /// A back end that fails what it is asked rests.
     Breaker,
     /// A queue takes what can be answered in time.
     QueueLimit,
     /// Flows that nobody has room for wait at an agent until it has.
-    Line,
+    WaitQueue,
     /// A balancer that stood still takes no new flow before it knows better.
-    Fence,
+    AdmissionPause,
     /// Agents read the shared store for balancers that it refuses.
-    StoreErrands,
+    DelegatedStoreReads,
     /// Callers are told that nobody holds their flow.
-    TellOver,
+    ResetUnowned,
     /// Agents find out whether their back end has ended.
     Probes,
     /// A few balancers of each zone wait at the shared store, not all.
     FewWatchers,
     /// A balancer that runs late holds silence against nobody.
-    OwnLateness,
+    SchedulingDelay,
     /// Repeated offers are bounded by the flows placed.
     OfferBudget,
     /// Searches for forgotten flows take a bounded share of the process.
@@ -54,19 +54,19 @@
         Policy::OwnZone,
         Policy::SecondRound,
         Policy::LastResort,
-        Policy::Drift,
-        Policy::Sample,
+        Policy::EstimateDecay,
+        Policy::SampledChoice,
         Policy::WeighCold,
-        Policy::WeighWork,
+        Policy::WeighServiceTime,
         Policy::Breaker,
         Policy::QueueLimit,
-        Policy::Line,
-        Policy::Fence,
-        Policy::StoreErrands,
-        Policy::TellOver,
+        Policy::WaitQueue,
+        Policy::AdmissionPause,
+        Policy::DelegatedStoreReads,
+        Policy::ResetUnowned,
         Policy::Probes,
         Policy::FewWatchers,
-        Policy::OwnLateness,
+        Policy::SchedulingDelay,
         Policy::OfferBudget,
         Policy::RepairBudget,
         Policy::PowerLoss,
@@ -78,19 +78,19 @@
             Policy::OwnZone => "own-zone",
             Policy::SecondRound => "second-round",
             Policy::LastResort => "last-resort",
-            Policy::Drift => "drift",
-            Policy::Sample => "sample",
+            Policy::EstimateDecay => "drift",
+            Policy::SampledChoice => "sample",
             Policy::WeighCold => "weigh-cold",
-            Policy::WeighWork => "weigh-work",
+            Policy::WeighServiceTime => "weigh-work",
             Policy::Breaker => "breaker",
             Policy::QueueLimit => "queue-limit",
-            Policy::Line => "line",
-            Policy::Fence => "fence",
-            Policy::StoreErrands => "store-errands",
-            Policy::TellOver => "tell-over",
+            Policy::WaitQueue => "line",
+            Policy::AdmissionPause => "fence",
+            Policy::DelegatedStoreReads => "store-errands",
+            Policy::ResetUnowned => "tell-over",
             Policy::Probes => "probes",
             Policy::FewWatchers => "few-watchers",
-            Policy::OwnLateness => "own-lateness",
+            Policy::SchedulingDelay => "own-lateness",
             Policy::OfferBudget => "offer-budget",
             Policy::RepairBudget => "repair-budget",
             Policy::PowerLoss => "power-loss",
@@ -130,7 +130,7 @@
     }
 
     /// Whether a mechanism is on.
-    pub fn has(self, policy: Policy) -> bool {
+    pub fn is_enabled(self, policy: Policy) -> bool {
         self.off & policy.bit() == 0
     }
 }
--- a/crates/carried/src/pool.rs
+++ b/crates/carried/src/pool.rs
@@ -91,13 +91,13 @@
 
     /// Whether flows of a service are declined so often that repeated offers are not to be had.
     pub(crate) fn is_budget_spent(&mut self, now: Duration, service: &str) -> bool {
-        self.policies.has(Policy::OfferBudget) && self.budget(now, service).is_spent(now)
+        self.policies.is_enabled(Policy::OfferBudget) && self.budget(now, service).is_spent(now)
     }
 
     /// Takes what an offer of a flow costs that was offered `made` times before; `false` when it is
     /// not to be made.
     pub(crate) fn take_offer(&mut self, now: Duration, service: &str, made: u32) -> bool {
-        !self.policies.has(Policy::OfferBudget) || self.budget(now, service).take(now, made)
+        !self.policies.is_enabled(Policy::OfferBudget) || self.budget(now, service).take(now, made)
     }
 
     /// A flow of a service was placed.
@@ -208,7 +208,7 @@
         let candidates = alive().filter(|(agent, view)| may_ask(agent, view));
         let candidates: Vec<_> =
             candidates.map(|(agent, view)| (ranking.rank(agent), agent, view)).collect();
-        let candidates = match self.policies.has(Policy::Sample) {
+        let candidates = match self.policies.is_enabled(Policy::SampledChoice) {
             true => sample(candidates),
             false => candidates,
         };
--- a/crates/carried/src/rank.rs
+++ b/crates/carried/src/rank.rs
@@ -26,7 +26,7 @@
 }
 
 /// A number drawn from two addresses and a count, the same at every call.
-pub(crate) fn draw(one: &SocketAddrV4, other: &SocketAddrV4, count: u64) -> u64 {
+pub(crate) fn stable_hash(one: &SocketAddrV4, other: &SocketAddrV4, count: u64) -> u64 {
     mix(mix(address_bits(one)) ^ mix(!address_bits(other)).rotate_left(1) ^ mix(count))
 }
 
--- a/crates/carried/src/kept_evacuations.rs
+++ b/crates/carried/src/retained_evacuations.rs
@@ -8,20 +8,20 @@
 use std::time::Duration;
 
 /// What is not written again so long after the store's return is gone.
-const LAPSE: Duration = Duration::from_secs(2);
+const RETENTION_DURATION: Duration = Duration::from_secs(2);
 
 /// Zones that are kept evacuated, and until when.
 #[derive(Debug, Default)]
-pub(crate) struct KeptEvacuations {
+pub(crate) struct RetainedEvacuations {
     zones: BTreeSet<String>,
     ends_at: Duration,
 }
 
-impl KeptEvacuations {
+impl RetainedEvacuations {
     /// The store has come back; `before` were evacuated until now.
-    pub(crate) fn keep(&mut self, now: Duration, before: BTreeSet<String>) {
+    pub(crate) fn retain(&mut self, now: Duration, before: BTreeSet<String>) {
         self.zones = before;
-        self.ends_at = now + LAPSE;
+        self.ends_at = now + RETENTION_DURATION;
     }
 
     pub(crate) fn zones(&self) -> &BTreeSet<String> {
@@ -34,7 +34,7 @@
     }
 
     /// Keeps nothing any more.
-    pub(crate) fn end(&mut self) {
+    pub(crate) fn clear(&mut self) {
         self.zones.clear();
     }
 }
--- a/crates/carried/src/segment.rs
+++ b/crates/carried/src/segment.rs
@@ -17,13 +17,13 @@
     /// The sequence number that it acknowledges; in an opening packet, which copy it is.
     pub acknowledgement: u32,
     /// SYN is set.
-    pub opens: bool,
+    pub syn: bool,
     /// ACK is set.
-    pub acknowledges: bool,
+    pub ack: bool,
     /// FIN is set.
-    pub finishes: bool,
+    pub fin: bool,
     /// RST is set.
-    pub resets: bool,
+    pub rst: bool,
     /// The back end did not take the packet and sends it back.
     pub returned: bool,
     /// Bytes of data behind the head.
@@ -38,10 +38,10 @@
             destination,
             sequence: 0,
             acknowledgement: 0,
-            opens: false,
-            acknowledges: false,
-            finishes: false,
-            resets: false,
+            syn: false,
+            ack: false,
+            fin: false,
+            rst: false,
             returned: false,
             payload_bytes: 0,
         }
@@ -64,23 +64,23 @@
 
     /// Whether two packets between the same addresses can be of one flow: both ends' numbers are
     /// near each other.
-    pub fn is_near(&self, other: &Segment) -> bool {
-        let is_known = self.acknowledges && other.acknowledges;
+    pub fn may_share_flow(&self, other: &Segment) -> bool {
+        let is_known = self.ack && other.ack;
         let is_near = |one: u32, other: u32| {
-            one.wrapping_sub(other).cast_signed().unsigned_abs() <= LARGEST_WINDOW
+            one.wrapping_sub(other).cast_signed().unsigned_abs() <= MAX_WINDOW_BYTES
         };
         is_near(self.sequence, other.sequence)
             && (!is_known || is_near(self.acknowledgement, other.acknowledgement))
     }
 
     /// Whether the packet asks for a new flow.
-    pub fn is_opening(&self) -> bool {
-        self.opens && !self.acknowledges
+    pub fn is_syn(&self) -> bool {
+        self.syn && !self.ack
     }
 }
 
 /// Further apart, in bytes, are no two packets of one flow that are under way.
-pub(crate) const LARGEST_WINDOW: u32 = 1 << 18;
+pub(crate) const MAX_WINDOW_BYTES: u32 = 1 << 18;
 
 /// Why a datagram is no packet of a carried flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
--- a/crates/carried/src/store_news.rs
+++ b/crates/carried/src/store_status.rs
@@ -16,7 +16,7 @@
 /// round between nodes grows old.
 const HOP_AGE: Duration = Duration::from_millis(50);
 /// So many hops reach every node: heartbeats spread to more than two others at each.
-const MOST_HOPS: u8 = 12;
+const MAX_HOPS: u8 = 12;
 
 /// The store's word that no newer configuration was there, as a heartbeat tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -29,22 +29,22 @@
 
 /// What one node knows of the store, from there or by hearsay.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct StoreNews {
+pub(crate) struct StoreStatus {
     /// Every configuration accepted before this moment is known here, and over how many hops.
     confirmed: Option<(Duration, u8)>,
     /// How often the store has come back, as far as is known. Nodes take the largest number heard.
-    returns: u32,
+    restores: u32,
 }
 
-impl StoreNews {
+impl StoreStatus {
     /// The store has answered this node.
-    pub(crate) fn confirm(&mut self, now: Duration) {
+    pub(crate) fn note_confirmed(&mut self, now: Duration) {
         self.confirmed = Some((now, 0));
     }
 
     /// Takes what a peer tells whose configuration is no newer than the one in force here.
-    pub(crate) fn hear(&mut self, now: Duration, confirmation: Confirmation) {
-        if confirmation.hops >= MOST_HOPS {
+    pub(crate) fn on_confirmation(&mut self, now: Duration, confirmation: Confirmation) {
+        if confirmation.hops >= MAX_HOPS {
             return;
         }
         let age = Duration::from_millis(u64::from(confirmation.ms_ago)) + HOP_AGE;
@@ -68,20 +68,20 @@
     }
 
     /// How often the store has come back.
-    pub(crate) fn returns(&self) -> u32 {
-        self.returns
+    pub(crate) fn restores(&self) -> u32 {
+        self.restores
     }
 
     /// The store is back, after an absence that began when so many returns were known; one that
     /// another node has told of since is not counted twice.
-    pub(crate) fn note_return(&mut self, known_before: u32) -> bool {
-        let is_news = self.returns == known_before;
-        self.returns = self.returns.saturating_add(u32::from(is_news));
+    pub(crate) fn note_restore(&mut self, known_before: u32) -> bool {
+        let is_news = self.restores == known_before;
+        self.restores = self.restores.saturating_add(u32::from(is_news));
         is_news
     }
 
     /// Takes the number of returns that a peer knows.
-    pub(crate) fn hear_returns(&mut self, returns: u32) {
-        self.returns = self.returns.max(returns);
+    pub(crate) fn note_peer_restores(&mut self, returns: u32) {
+        self.restores = self.restores.max(returns);
     }
 }
--- a/crates/carried/src/version.rs
+++ b/crates/carried/src/version.rs
@@ -30,7 +30,7 @@
     }
 
     /// Whether the store has come back from an older copy before.
-    pub fn follows_a_return(&self) -> bool {
+    pub fn follows_restore(&self) -> bool {
         self.era > 1
     }
 }
--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -5,7 +5,7 @@
 //! of rest does not draw the flows of every balancer, and an agent that has measured nothing looks
 //! neither fast nor slow.
 
-use crate::message::{BackendCondition, FlowMemory, LoadReport};
+use crate::message::{BackendCondition, FlowKnowledge, LoadReport};
 use crate::policy::{Policies, Policy};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -67,7 +67,7 @@
 impl Distance {
     /// What the way is worth where a request takes `work` seconds.
     fn seconds(self, work: f64, policies: Policies) -> f64 {
-        let work = if policies.has(Policy::OwnZone) { work } else { 0.0 };
+        let work = if policies.is_enabled(Policy::OwnZone) { work } else { 0.0 };
         match self {
             Distance::SameZone => 0.0,
             Distance::OtherZone => OTHER_ZONE_SECONDS + OTHER_ZONE_WORK * work,
@@ -213,7 +213,7 @@
     }
 
     /// Which flows of its back end it knows, as it says itself.
-    pub(crate) fn memory(&self) -> FlowMemory {
+    pub(crate) fn memory(&self) -> FlowKnowledge {
         self.report.memory
     }
 
@@ -230,19 +230,19 @@
     /// When its back end started, seen from this process's start, where its agent has run ever
     /// since; nothing below 0 is told from 0.
     fn began_at(&self) -> Option<Duration> {
-        let before = Duration::from_millis(u64::from(self.report.begun_ms_ago?));
+        let before = Duration::from_millis(u64::from(self.report.backend_age_ms?));
         Some(self.heard_at.saturating_sub(before))
     }
 
     /// When the agent's process started; `None` when that is long ago.
     pub(crate) fn started_at(&self) -> Option<StartTime> {
-        Some(StartTime::of(self.heard_at, self.report.up_ms?))
+        Some(StartTime::of(self.heard_at, self.report.uptime_ms?))
     }
 
     /// Whether its back end started after this process did, or no more than `spread` before it,
     /// and its agent has run ever since.
     pub(crate) fn began_after(&self, now: Duration, spread: Duration) -> bool {
-        self.report.begun_ms_ago.is_some_and(|milliseconds| {
+        self.report.backend_age_ms.is_some_and(|milliseconds| {
             let age = Duration::from_millis(u64::from(milliseconds)) + self.age(now);
             age <= now + spread
         })
@@ -274,7 +274,7 @@
         let capacity = u32::from(self.report.capacity);
         let is_full = u32::from(self.report.waiting) + self.placed_since >= capacity;
         let is_given_enough =
-            self.report.cold_room.is_some_and(|room| self.placed_since >= u32::from(room));
+            self.report.cold_allowance.is_some_and(|room| self.placed_since >= u32::from(room));
         (is_full || is_given_enough) && self.age(now) < FULL_LASTS
     }
 
@@ -297,14 +297,15 @@
     }
 
     fn reported_work(&self) -> Option<f64> {
-        (self.report.work_us > 0).then(|| f64::from(self.report.work_us) / 1e6)
+        (self.report.service_time_us > 0).then(|| f64::from(self.report.service_time_us) / 1e6)
     }
 
     /// Time of one request, in seconds, as far as is known.
     fn work(&self, now: Duration, typical: &Typical, policies: Policies) -> f64 {
-        let measured = self.reported_work().filter(|_| policies.has(Policy::WeighWork));
+        let measured =
+            self.reported_work().filter(|_| policies.is_enabled(Policy::WeighServiceTime));
         let Some(measured) = measured else { return typical.work };
-        if !policies.has(Policy::Drift) {
+        if !policies.is_enabled(Policy::EstimateDecay) {
             return measured.max(LEAST_WORK_SECONDS);
         }
         let age = f64::from(self.report.measured_ms_ago) / 1e3 + self.age(now).as_secs_f64();
@@ -312,13 +313,13 @@
     }
 
     fn slowness(&self, policies: Policies) -> f64 {
-        let is_slow = self.report.is_cold && policies.has(Policy::WeighCold);
+        let is_slow = self.report.is_cold && policies.is_enabled(Policy::WeighCold);
         if is_slow { COLD_FACTOR } else { 1.0 }
     }
 
     /// Seconds until a flow that waits there until there is room is answered, as far as is known.
     pub(crate) fn line_cost(&self, now: Duration, typical: &Typical, policies: Policies) -> f64 {
-        let ahead = f64::from(self.report.waiting) + f64::from(self.report.in_line);
+        let ahead = f64::from(self.report.waiting) + f64::from(self.report.queued);
         let rounds = (ahead + f64::from(self.placed_since) + 1.0) / self.capacity();
         self.work(now, typical, policies) * self.slowness(policies) * rounds
             + self.location.distance.seconds(typical.work, policies)
@@ -328,7 +329,7 @@
     pub(crate) fn cost(&self, now: Duration, typical: &Typical, policies: Policies) -> f64 {
         let work = self.work(now, typical, policies);
         let half_lives = self.age(now).as_secs_f64() / (work * LOAD_HALF_REQUESTS);
-        let load = match policies.has(Policy::Drift) {
+        let load = match policies.is_enabled(Policy::EstimateDecay) {
             true => drift(self.reported_load(), typical.load, half_lives),
             false => self.reported_load(),
         };
--- a/crates/carried/tests/agent.rs
+++ b/crates/carried/tests/agent.rs
@@ -2,7 +2,9 @@
 
 mod support;
 
-use loftdrift_carried::{Admission, CarriedAgent, DeclineReason, Message, Output, Segment, Word};
+use loftdrift_carried::{
+    Admission, CarriedAgent, DeclineReason, FlowStatus, Message, Output, Segment,
+};
 use std::time::Duration;
 use support::*;
 
@@ -106,20 +108,20 @@
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     open(&mut agent, milliseconds(1), 1, 500);
-    let finish = Segment { finishes: true, payload_bytes: 0, ..answer(1, 501) };
+    let finish = Segment { fin: true, payload_bytes: 0, ..answer(1, 501) };
     agent.handle_backend(milliseconds(10), packet(&finish));
     outputs(&mut agent);
     // The caller uses its port again for a flow at another back end, with other numbers.
     let elsewhere = find(1, 3_000_000_000);
     agent.handle_peer(milliseconds(20), balancer_address(), &elsewhere);
-    assert_eq!(outputs(&mut agent), [says(1, Word::Absent)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)]);
     let packet_elsewhere = packet(&data(1, 900, 3_000_000_000));
     let forwarded = Message::Forward { datagram: packet_elsewhere.clone() }.encode();
     agent.handle_peer(milliseconds(20), balancer_address(), &forwarded);
-    let not_held = Message::NotHeld { datagram: packet_elsewhere };
+    let not_held = Message::NotOwned { datagram: packet_elsewhere };
     assert_eq!(outputs(&mut agent), [to_balancer(not_held)]);
     agent.handle_peer(milliseconds(21), balancer_address(), &find(1, 502));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Held)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
     let here = Message::Forward { datagram: packet(&data(1, 110, 502)) }.encode();
     agent.handle_peer(milliseconds(21), balancer_address(), &here);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
@@ -135,7 +137,7 @@
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 2);
     let next = data(1, 1_330_307_754, 501);
     agent.handle_peer(milliseconds(1_500), balancer_address(), &forward(&next));
-    let not_held = Message::NotHeld { datagram: packet(&next) };
+    let not_held = Message::NotOwned { datagram: packet(&next) };
     assert_eq!(outputs(&mut agent), [to_balancer(not_held)]);
     agent.handle_peer(milliseconds(1_501), balancer_address(), &forward(&data(1, 111, 501)));
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1, "the flow's own data goes on");
@@ -146,15 +148,15 @@
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
     agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Unsure)], "no packet is given yet");
-    let tried = Message::Try { datagram: packet(&data(1, 101, 501)) }.encode();
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)], "no packet is given yet");
+    let tried = Message::TryForward { datagram: packet(&data(1, 101, 501)) }.encode();
     agent.handle_peer(milliseconds(1), balancer_address(), &tried);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
-    let reset = Segment { resets: true, ..answer(1, 501) };
+    let reset = Segment { rst: true, ..answer(1, 501) };
     agent.handle_backend(milliseconds(2), packet(&reset));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Absent)], "and no caller is reset");
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)], "and no caller is reset");
     agent.handle_peer(milliseconds(3), balancer_address(), &tried);
-    assert_eq!(outputs(&mut agent), [says(1, Word::Absent)], "tried once");
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)], "tried once");
 }
 
 #[test]
@@ -162,14 +164,14 @@
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
     // Known from the back end's own packet only, which says nothing of what it holds now.
-    let datagram = packet(&Segment { acknowledges: false, ..data(1, 101, 0) });
+    let datagram = packet(&Segment { ack: false, ..data(1, 101, 0) });
     agent.handle_backend(milliseconds(1), packet(&answer(1, 500)));
     let forwarded = Message::Forward { datagram: datagram.clone() }.encode();
     agent.handle_peer(milliseconds(2), balancer_address(), &forwarded);
     outputs(&mut agent);
-    let returned = packet(&Segment { returned: true, acknowledges: false, ..data(1, 101, 0) });
+    let returned = packet(&Segment { returned: true, ack: false, ..data(1, 101, 0) });
     agent.handle_backend(milliseconds(3), returned);
-    assert_eq!(outputs(&mut agent), [to_balancer(Message::NotHeld { datagram })]);
+    assert_eq!(outputs(&mut agent), [to_balancer(Message::NotOwned { datagram })]);
 }
 
 #[test]
@@ -195,7 +197,7 @@
     let second_balancer = address("10.1.0.2:7720");
     agent.handle_peer(milliseconds(2), second_balancer, &offer(9, 1, Admission::FreeSlot));
     outputs(&mut agent);
-    agent.handle_backend(milliseconds(3), packet(&Segment { opens: true, ..answer(1, 500) }));
+    agent.handle_backend(milliseconds(3), packet(&Segment { syn: true, ..answer(1, 500) }));
     let answers: Vec<(_, u64)> = outputs(&mut agent)
         .into_iter()
         .filter_map(|output| match output {
--- a/crates/carried/tests/balancer.rs
+++ b/crates/carried/tests/balancer.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use loftdrift_carried::{
-    BackendCondition, CarriedBalancer, DeclineReason, FlowMemory, LoadReport, Message, Output,
-    PlainFormat, Segment, Word,
+    BackendCondition, CarriedBalancer, DeclineReason, FlowKnowledge, FlowStatus, LoadReport,
+    Message, Output, PlainFormat, Segment,
 };
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -16,14 +16,14 @@
         condition: BackendCondition::Accepting,
         capacity: 4,
         waiting,
-        in_line: 0,
-        work_us: 20_000,
+        queued: 0,
+        service_time_us: 20_000,
         measured_ms_ago: 0,
         is_cold: false,
-        cold_room: None,
-        begun_ms_ago: None,
-        memory: FlowMemory::Whole,
-        up_ms: None,
+        cold_allowance: None,
+        backend_age_ms: None,
+        memory: FlowKnowledge::Complete,
+        uptime_ms: None,
     }
 }
 
@@ -58,7 +58,7 @@
     outputs
         .iter()
         .filter_map(|output| match output {
-            Output::ToPeer { to, message: Message::Find { .. } } => Some(*to),
+            Output::ToPeer { to, message: Message::Lookup { .. } } => Some(*to),
             _ => None,
         })
         .collect()
@@ -102,7 +102,7 @@
     match admission {
         Some(loftdrift_carried::Admission::FreeSlot) => "slot",
         Some(loftdrift_carried::Admission::Within(_)) => "queue",
-        Some(loftdrift_carried::Admission::Line { .. }) => "line",
+        Some(loftdrift_carried::Admission::WaitQueue { .. }) => "line",
         _ => "other",
     }
 }
@@ -160,7 +160,7 @@
     let mut balancer = balancer(1);
     tell(&mut balancer, milliseconds(0), 9, load("sheets", 0));
     // A wrong memory: the flow is believed to live at an agent of another service.
-    let held = found(1, Word::Held);
+    let held = found(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(1), agent_address(9), &held.encode());
     let copy = Segment { acknowledgement: 1, ..opening(1) };
     balancer.handle_caller(milliseconds(2), &packet(&copy));
@@ -189,7 +189,7 @@
     let outputs = outputs_of(&mut balancer);
     assert_eq!(located(&outputs).len(), 3);
     assert!(!has_reset(&outputs));
-    let held = found(1, Word::Held);
+    let held = found(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(2), agent_address(2), &held.encode());
     let forwarded = |sequence| {
         let datagram = packet(&data(1, sequence, 501));
@@ -203,9 +203,9 @@
 #[test]
 fn a_packet_that_an_agent_does_not_hold_is_located_among_the_others() {
     let mut balancer = balancer(3);
-    let held = found(1, Word::Held);
+    let held = found(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(1), agent_address(2), &held.encode());
-    let not_held = Message::NotHeld { datagram: packet(&data(1, 101, 501)) };
+    let not_held = Message::NotOwned { datagram: packet(&data(1, 101, 501)) };
     balancer.handle_peer(milliseconds(2), agent_address(2), &not_held.encode());
     balancer.handle_timeout(milliseconds(2));
     let mut asked = located(&outputs_of(&mut balancer));
@@ -242,8 +242,8 @@
     let mut balancer = balancer(1);
     tell(&mut balancer, milliseconds(0), 9, load("sheets", 0));
     let mut split = route(service_address(), SERVICE);
-    split.parts[0].weight = 9;
-    split.parts.push(loftdrift_carried::Part { service: "sheets".to_owned(), weight: 1 });
+    split.targets[0].weight = 9;
+    split.targets.push(loftdrift_carried::RouteTarget { service: "sheets".to_owned(), weight: 1 });
     balancer.adopt(milliseconds(1), configuration(2, vec![split]));
     let mut to_sheets = 0;
     for port in 1..=100 {
--- a/crates/carried/tests/breaker.rs
+++ b/crates/carried/tests/breaker.rs
@@ -31,7 +31,7 @@
     if let Some(reason) = declined(&outputs(agent)) {
         return Some(reason);
     }
-    agent.handle_backend(now, packet(&Segment { opens: true, ..answer(port, 500) }));
+    agent.handle_backend(now, packet(&Segment { syn: true, ..answer(port, 500) }));
     let request = Message::Forward { datagram: packet(&data(port, 101, 501)) }.encode();
     agent.handle_peer(now, balancer_address(), &request);
     outputs(agent);
@@ -146,7 +146,7 @@
         assert_eq!(ask(&mut agent, milliseconds(10), port), None);
         agent.handle_backend(
             milliseconds(12),
-            packet(&Segment { resets: true, acknowledges: false, ..answer(port, 501) }),
+            packet(&Segment { rst: true, ack: false, ..answer(port, 501) }),
         );
         outputs(&mut agent);
     }
@@ -194,7 +194,7 @@
     for port in 1..=2 {
         assert_eq!(ask(&mut agent, milliseconds(10), port), None);
         let end = 501 + PlainFormat::FAILED.len() as u32;
-        let finish = Segment { finishes: true, ..answer(port, end) };
+        let finish = Segment { fin: true, ..answer(port, end) };
         agent.handle_backend(milliseconds(11), packet(&finish));
         reply(&mut agent, milliseconds(12), port, PlainFormat::FAILED);
     }
@@ -206,7 +206,7 @@
 fn a_flow_that_ends_without_an_answer_is_a_failure() {
     let mut agent = ready_agent();
     assert_eq!(ask(&mut agent, milliseconds(10), 1), None);
-    agent.handle_backend(milliseconds(11), packet(&Segment { finishes: true, ..answer(1, 501) }));
+    agent.handle_backend(milliseconds(11), packet(&Segment { fin: true, ..answer(1, 501) }));
     assert_eq!(agent.counters(NOTHING).requests_failed, 1);
     assert_eq!(agent.counters(NOTHING).waiting, 0);
 }
@@ -216,10 +216,10 @@
     let mut agent = ready_agent();
     for port in 1..=4 {
         assert_eq!(ask(&mut agent, milliseconds(10), port), None);
-        let finish = Segment { finishes: true, payload_bytes: 0, ..data(port, 111, 501) };
+        let finish = Segment { fin: true, payload_bytes: 0, ..data(port, 111, 501) };
         let forwarded = Message::Forward { datagram: packet(&finish) }.encode();
         agent.handle_peer(milliseconds(50), balancer_address(), &forwarded);
-        let end = Segment { finishes: true, ..answer(port, 501) };
+        let end = Segment { fin: true, ..answer(port, 501) };
         agent.handle_backend(milliseconds(51), packet(&end));
         outputs(&mut agent);
     }
--- a/crates/carried/tests/choice.rs
+++ b/crates/carried/tests/choice.rs
@@ -10,13 +10,13 @@
 
 const WORK_US: u32 = 50_000;
 
-fn load(waiting: u16, work_us: u32) -> LoadReport {
+fn load(waiting: u16, service_time_us: u32) -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
         capacity: 4,
         waiting,
-        work_us,
+        service_time_us,
         ..LoadReport::default()
     }
 }
--- a/crates/carried/tests/endings.rs
+++ b/crates/carried/tests/endings.rs
@@ -3,8 +3,8 @@
 mod support;
 
 use loftdrift_carried::{
-    Admission, BackendCondition, CarriedAgent, DeclineReason, Message, Output, ProbeOutcome,
-    Segment, Word,
+    Admission, BackendCondition, CarriedAgent, DeclineReason, FlowStatus, Message, Output,
+    ProbeOutcome, Segment,
 };
 use std::time::Duration;
 use support::*;
@@ -48,7 +48,7 @@
     assert!(told.contains(&ended(1)));
     assert_eq!(agent.counters(milliseconds(100)).flows_reset, 1);
     agent.handle_peer(milliseconds(101), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Absent)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)]);
 }
 
 #[test]
@@ -56,8 +56,8 @@
     let mut agent = agent_with_flow();
     agent.take_report(milliseconds(50), &report("two", 1, true));
     agent.handle_peer(milliseconds(100), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Unsure)], "its back end is to tell");
-    let tried = Message::Try { datagram: packet(&data(1, 101, 501)) }.encode();
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)], "its back end is to tell");
+    let tried = Message::TryForward { datagram: packet(&data(1, 101, 501)) }.encode();
     agent.handle_peer(milliseconds(101), balancer_address(), &tried);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
     agent.handle_backend(milliseconds(101), returned(1, 101));
@@ -69,17 +69,17 @@
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
     agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Unsure)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)]);
     // Its own flow: the back end answers.
     agent.handle_peer(milliseconds(2), balancer_address(), &forward(1, 101));
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
     agent.handle_backend(milliseconds(3), packet(&Segment { payload_bytes: 10, ..answer(1, 501) }));
-    assert!(outputs(&mut agent).contains(&says(1, Word::Held)));
+    assert!(outputs(&mut agent).contains(&says(1, FlowStatus::Owned)));
     // Another back end's flow: sent back once, and known from then on.
     agent.handle_peer(milliseconds(4), balancer_address(), &forward(2, 101));
     outputs(&mut agent);
     agent.handle_backend(milliseconds(4), returned(2, 101));
-    assert_eq!(outputs(&mut agent), [says(2, Word::Absent)]);
+    assert_eq!(outputs(&mut agent), [says(2, FlowStatus::Absent)]);
     agent.handle_peer(milliseconds(5), balancer_address(), &forward(2, 101));
     let after = outputs(&mut agent);
     assert_eq!((sent_to_backend(&after), resets(&after)), (0, 0));
@@ -89,10 +89,14 @@
 fn both_restarted_and_the_balancer_is_told_that_the_flow_is_not_here() {
     let mut agent = agent(false);
     agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Early)], "not before the back end is known");
+    assert_eq!(
+        outputs(&mut agent),
+        [says(1, FlowStatus::NotReady)],
+        "not before the back end is known"
+    );
     agent.take_report(milliseconds(10), &report("two", 1, true));
     agent.handle_peer(milliseconds(11), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Absent)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)]);
 }
 
 #[test]
@@ -101,21 +105,21 @@
     // An earlier process of the agent may have placed flows in between.
     agent.take_report(milliseconds(0), &report("one", 2, true));
     agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Unsure)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)]);
 }
 
 #[test]
 fn a_packet_that_comes_back_late_does_not_end_the_port_s_next_flow() {
     let mut agent = agent_with_flow();
     agent.handle_peer(milliseconds(2), balancer_address(), &forward(1, 101));
-    let finish = Segment { finishes: true, ..answer(1, 501) };
+    let finish = Segment { fin: true, ..answer(1, 501) };
     agent.handle_backend(milliseconds(3), packet(&finish));
     // The caller uses its port again; the back end's numbers are far from the first flow's.
     agent.handle_peer(milliseconds(10), balancer_address(), &offer(9, 1, Admission::FreeSlot));
     outputs(&mut agent);
     agent.handle_backend(milliseconds(10), returned(1, 101));
     assert_eq!(outputs(&mut agent), [], "while the next one is being opened");
-    let syn_ack = Segment { opens: true, ..answer(1, 2_000_000_000) };
+    let syn_ack = Segment { syn: true, ..answer(1, 2_000_000_000) };
     agent.handle_backend(milliseconds(11), packet(&syn_ack));
     outputs(&mut agent);
     agent.handle_backend(milliseconds(12), returned(1, 101));
@@ -128,7 +132,7 @@
 #[test]
 fn a_packet_returned_after_the_back_end_closed_the_flow_resets_nobody() {
     let mut agent = agent_with_flow();
-    agent.handle_backend(milliseconds(3), packet(&Segment { finishes: true, ..answer(1, 501) }));
+    agent.handle_backend(milliseconds(3), packet(&Segment { fin: true, ..answer(1, 501) }));
     agent.handle_peer(milliseconds(4), balancer_address(), &forward(1, 101));
     outputs(&mut agent);
     agent.handle_backend(milliseconds(4), returned(1, 101));
@@ -160,7 +164,7 @@
     assert_eq!(declined(&outputs(&mut agent)), Some(DeclineReason::NotAccepting));
     // A flow that waited for nothing is told at its next packet.
     agent.handle_peer(milliseconds(701), balancer_address(), &find(2, 501));
-    assert_eq!(outputs(&mut agent), [says(2, Word::Absent)]);
+    assert_eq!(outputs(&mut agent), [says(2, FlowStatus::Absent)]);
     agent.take_report(milliseconds(900), &report("two", 1, true));
     agent.handle_peer(milliseconds(901), balancer_address(), &offer(4, 4, Admission::FreeSlot));
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1, "its next start is taken");
@@ -179,7 +183,7 @@
     }
     assert!((2..=4).contains(&probes), "{probes}: about one a second");
     agent.handle_peer(milliseconds(4_000), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Held)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
 }
 
 #[test]
@@ -194,7 +198,7 @@
         configuration: at(0),
         digest: 0,
         confirmation: None,
-        store_returns: 0,
+        store_restores: 0,
         report: None,
         wants_reply: false,
     };
@@ -240,7 +244,7 @@
     }
     assert!(Duration::from_millis(at) < milliseconds(200));
     agent.handle_peer(milliseconds(at), balancer_address(), &find(1, 501));
-    assert!(outputs(&mut agent).contains(&says(1, Word::Absent)));
+    assert!(outputs(&mut agent).contains(&says(1, FlowStatus::Absent)));
 }
 
 #[test]
@@ -259,7 +263,7 @@
         [Output::ToPeer { message: Message::Placed { number: 77, .. }, .. }]
     ));
     agent.handle_peer(milliseconds(901), balancer_address(), &find(1, 511));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Held)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
 }
 
 #[test]
@@ -291,5 +295,5 @@
     agent.handle_timeout(milliseconds(9_000));
     outputs(&mut agent);
     agent.handle_peer(milliseconds(9_000), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, Word::Held)]);
+    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
 }
--- a/crates/carried/tests/evacuation.rs
+++ b/crates/carried/tests/evacuation.rs
@@ -4,7 +4,7 @@
 
 use loftdrift_carried::{
     Admission, BackendCondition, CarriedConfiguration, DeclineReason, Heartbeat, LoadReport,
-    Message, NodeRole, Output, Part,
+    Message, NodeRole, Output, RouteTarget,
 };
 use support::*;
 
@@ -134,7 +134,7 @@
             configuration: at(configuration),
             digest,
             confirmation: None,
-            store_returns: 0,
+            store_restores: 0,
             report: None,
             wants_reply: false,
         })
@@ -178,9 +178,9 @@
 #[test]
 fn a_flow_of_a_route_with_regions_is_offered_in_these_only() {
     let mut balancer = new_balancer(1);
-    let at_home = Part { service: SERVICE.to_owned(), weight: 1 };
+    let at_home = RouteTarget { service: SERVICE.to_owned(), weight: 1 };
     let mut bound = route(service_address(), SERVICE);
-    bound.parts = vec![at_home];
+    bound.targets = vec![at_home];
     bound.regions = vec!["far".to_owned()];
     balancer.adopt(milliseconds(0), configuration(2, vec![bound]));
     let heartbeat = |region: &str| {
@@ -193,7 +193,7 @@
             configuration: at(2),
             digest: 0,
             confirmation: None,
-            store_returns: 0,
+            store_restores: 0,
             report: Some(accepting()),
             wants_reply: false,
         })
--- a/crates/carried/tests/fence.rs
+++ b/crates/carried/tests/fence.rs
@@ -40,7 +40,7 @@
         configuration: at(configuration),
         digest: 0,
         confirmation: None,
-        store_returns: 0,
+        store_restores: 0,
         report: Some(load()),
         wants_reply: false,
     };
@@ -100,7 +100,7 @@
     assert!(
         located
             .iter()
-            .any(|output| matches!(output, Output::ToPeer { message: Message::Find { .. }, .. }))
+            .any(|output| matches!(output, Output::ToPeer { message: Message::Lookup { .. }, .. }))
     );
     assert_eq!(offers_of(&mut balancer, RESUMED + milliseconds(100), 1), 0);
     // All agents are suspect by then, which asks the last one heard.
--- a/crates/carried/tests/incarnations.rs
+++ b/crates/carried/tests/incarnations.rs
@@ -16,7 +16,7 @@
 const SLOTS: u16 = 1_000;
 
 fn life(born_ms: u64) -> Incarnation {
-    Incarnation { id: "one".to_owned(), born_ms: Some(born_ms) }
+    Incarnation { id: "one".to_owned(), started_at_ms: Some(born_ms) }
 }
 
 fn word(incarnation: &Incarnation, sequence: u64, is_ready: bool) -> BackendReport {
--- a/crates/carried/tests/lateness.rs
+++ b/crates/carried/tests/lateness.rs
@@ -21,7 +21,7 @@
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
         capacity: 4,
-        work_us: 50_000,
+        service_time_us: 50_000,
         ..LoadReport::default()
     }
 }
@@ -82,7 +82,7 @@
 
 #[test]
 fn without_its_own_lateness_it_suspects_living_agents() {
-    let policies = Policies::default().without(Policy::OwnLateness);
+    let policies = Policies::default().without(Policy::SchedulingDelay);
     let (suspected, resets) = play(&mut balancer(policies), milliseconds(60), 2);
     assert!(suspected > 0, "{suspected} {resets}");
 }
--- a/crates/carried/tests/line.rs
+++ b/crates/carried/tests/line.rs
@@ -14,8 +14,8 @@
 /// Requests beyond the slots that overlap with others by their handshakes.
 const OVERLAP: u16 = 1;
 
-fn line(patience_ms: u16, priority: u8) -> Admission {
-    Admission::Line { within_ms: 0, patience_ms, priority }
+fn line(attempt_remaining_ms: u16, priority: u8) -> Admission {
+    Admission::WaitQueue { within_ms: 0, attempt_remaining_ms, priority }
 }
 
 fn offer_line(agent: &mut CarriedAgent, now: u64, port: u16, patience_ms: u16, priority: u8) {
@@ -40,7 +40,7 @@
 fn begin(agent: &mut CarriedAgent, now: u64, port: u16) {
     let now = milliseconds(now);
     let sequence = 500 + u32::from(port);
-    agent.handle_backend(now, packet(&Segment { opens: true, ..answer(port, sequence) }));
+    agent.handle_backend(now, packet(&Segment { syn: true, ..answer(port, sequence) }));
     let request = Message::Forward { datagram: packet(&data(port, 101, sequence + 1)) };
     agent.handle_peer(now, balancer_address(), &request.encode());
 }
@@ -59,7 +59,7 @@
         Output::ToBackend(datagram) => {
             use loftdrift_carried::SegmentFormat;
             let segment = PlainFormat.parse(datagram).expect("a packet");
-            segment.is_opening().then(|| segment.source.port())
+            segment.is_syn().then(|| segment.source.port())
         }
         _ => None,
     });
@@ -182,7 +182,7 @@
 fn a_copy_of_a_flow_that_is_over_reaches_the_back_end_no_more() {
     let mut agent = full_agent();
     finish(&mut agent, 40, 1);
-    let finish_of_1 = Segment { finishes: true, payload_bytes: 0, ..answer(1, 511) };
+    let finish_of_1 = Segment { fin: true, payload_bytes: 0, ..answer(1, 511) };
     agent.handle_backend(milliseconds(41), packet(&finish_of_1));
     outputs(&mut agent);
     // Through another balancer, late: the caller's port may stand for another flow by now.
--- a/crates/carried/tests/line_at_balancer.rs
+++ b/crates/carried/tests/line_at_balancer.rs
@@ -19,7 +19,7 @@
         condition: BackendCondition::Accepting,
         capacity: SLOTS,
         waiting,
-        work_us: 50_000,
+        service_time_us: 50_000,
         ..LoadReport::default()
     }
 }
@@ -53,8 +53,8 @@
         let outputs = outputs_of(balancer);
         assert_eq!(resets(&outputs), 0);
         let (to, number, admission) = made(&outputs).expect("an offer");
-        if let Admission::Line { patience_ms, .. } = admission {
-            return (to, number, patience_ms);
+        if let Admission::WaitQueue { attempt_remaining_ms, .. } = admission {
+            return (to, number, attempt_remaining_ms);
         }
         let declined = Message::Declined { number, reason: DeclineReason::Busy, report: load(8) };
         balancer.handle_peer(milliseconds(now), to, &declined.encode());
@@ -167,8 +167,10 @@
     tell(&mut balancer, milliseconds(1_150), 1, load(0));
     balancer.handle_timeout(milliseconds(1_160));
     let (_, _, admission) = made(&outputs_of(&mut balancer)).expect("an offer");
-    let Admission::Line { patience_ms, .. } = admission else { panic!("{admission:?}") };
-    assert!(patience_ms <= 270, "{patience_ms}: its try began at 100 ms");
+    let Admission::WaitQueue { attempt_remaining_ms, .. } = admission else {
+        panic!("{admission:?}")
+    };
+    assert!(attempt_remaining_ms <= 270, "{attempt_remaining_ms}: its try began at 100 ms");
 }
 
 #[test]
--- a/crates/carried/tests/lookups.rs
+++ b/crates/carried/tests/lookups.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use loftdrift_carried::{
-    BackendCondition, CarriedBalancer, LoadReport, Message, NodeRole, Output, Segment, Word,
+    BackendCondition, CarriedBalancer, FlowStatus, LoadReport, Message, NodeRole, Output, Segment,
 };
 use std::collections::HashSet;
 use std::net::SocketAddrV4;
@@ -68,7 +68,7 @@
     balancer: &mut CarriedBalancer,
     now: Duration,
     agent: SocketAddrV4,
-    word: Word,
+    word: FlowStatus,
 ) -> Vec<Output> {
     balancer.handle_peer(now, agent, &found(1, word).encode());
     settle(balancer, now)
@@ -79,7 +79,7 @@
 fn answer_all(
     balancer: &mut CarriedBalancer,
     now: Duration,
-    word: impl Fn(SocketAddrV4) -> Option<Word>,
+    word: impl Fn(SocketAddrV4) -> Option<FlowStatus>,
 ) -> Vec<Output> {
     let mut all = Vec::new();
     let mut now = now;
@@ -105,7 +105,7 @@
     assert_eq!(open.len(), 16, "the first batch");
     let mut said = 0;
     while let Some(agent) = open.pop() {
-        let outputs = say(&mut balancer, milliseconds(3), agent, Word::Absent);
+        let outputs = say(&mut balancer, milliseconds(3), agent, FlowStatus::Absent);
         said += 1;
         open.extend(asked(&outputs));
         assert_eq!(resets(&outputs), usize::from(said == 20), "after {said}");
@@ -121,7 +121,7 @@
     let mut balancer = acquainted(7);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let silent = agent_address(3);
-    let deny = |agent| (agent != silent).then_some(Word::Absent);
+    let deny = |agent| (agent != silent).then_some(FlowStatus::Absent);
     let outputs = answer_all(&mut balancer, milliseconds(3), deny);
     assert_eq!(resets(&outputs), 0);
     // Cut off or frozen: what it holds lives. The others go on sending heartbeats.
@@ -136,7 +136,7 @@
         let outputs = answer_all(&mut balancer, milliseconds(at), deny);
         assert_eq!(resets(&outputs), 0, "after {at} ms");
     }
-    let held = found(1, Word::Held);
+    let held = found(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(14_000), silent, &held.encode());
     assert!(!forwarded(&outputs_of(&mut balancer)).is_empty(), "found once it is back");
 }
@@ -148,7 +148,7 @@
     tell(&mut balancer, milliseconds(1), 3, ended);
     balancer.handle_caller(milliseconds(2), &packet(&request()));
     let gone = agent_address(3);
-    let deny = |agent| (agent != gone).then_some(Word::Absent);
+    let deny = |agent| (agent != gone).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(3), deny)), 0, "it may answer yet");
     serve_timers(&mut balancer, 3, 40);
     assert_eq!(resets(&settle(&mut balancer, milliseconds(40))), 1, "within 40 ms");
@@ -166,11 +166,11 @@
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(4_001), &packet(&request()));
     let back = agent_address(3);
-    let deny = |agent| (agent != back).then_some(Word::Absent);
+    let deny = |agent| (agent != back).then_some(FlowStatus::Absent);
     let outputs = answer_all(&mut balancer, milliseconds(4_002), deny);
     assert!(asked(&outputs).contains(&back));
     assert_eq!(resets(&outputs), 0);
-    balancer.handle_peer(milliseconds(4_012), back, &found(1, Word::Held).encode());
+    balancer.handle_peer(milliseconds(4_012), back, &found(1, FlowStatus::Owned).encode());
     assert_eq!(forwarded(&outputs_of(&mut balancer)), [back]);
 }
 
@@ -179,7 +179,7 @@
     let mut balancer = acquainted(3);
     balancer.learn_members(milliseconds(1), &[(agent_address(9), NodeRole::Agent)]);
     balancer.handle_caller(milliseconds(2), &packet(&request()));
-    let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
+    let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     let outputs = answer_all(&mut balancer, milliseconds(3), deny);
     assert!(asked(&outputs).contains(&agent_address(9)));
     assert_eq!(resets(&outputs), 0);
@@ -192,13 +192,13 @@
         tell(&mut balancer, milliseconds(0), agent, load());
     }
     balancer.handle_caller(milliseconds(1), &packet(&request()));
-    let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(Word::Absent));
+    let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(FlowStatus::Absent));
     assert_eq!(resets(&outputs), 0, "there may be others");
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(5_100), agent, load());
     }
     balancer.handle_caller(milliseconds(5_100), &packet(&request()));
-    let outputs = answer_all(&mut balancer, milliseconds(5_101), |_| Some(Word::Absent));
+    let outputs = answer_all(&mut balancer, milliseconds(5_101), |_| Some(FlowStatus::Absent));
     assert_eq!(resets(&outputs), 1);
 }
 
@@ -208,14 +208,14 @@
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let unsure = agent_address(2);
     let word = |agent| match agent == unsure {
-        true => Some(Word::Unsure),
-        false => Some(Word::Absent),
+        true => Some(FlowStatus::Unknown),
+        false => Some(FlowStatus::Absent),
     };
     let outputs = answer_all(&mut balancer, milliseconds(3), word);
     assert_eq!(tried(&outputs), [unsure]);
     assert_eq!(forwarded(&outputs), []);
     assert_eq!(resets(&outputs), 0, "its back end is to tell");
-    let outputs = say(&mut balancer, milliseconds(4), unsure, Word::Absent);
+    let outputs = say(&mut balancer, milliseconds(4), unsure, FlowStatus::Absent);
     assert_eq!(resets(&outputs), 1);
 }
 
@@ -223,7 +223,7 @@
 fn while_the_holder_may_be_one_that_cannot_be_asked_two_trials_are_all() {
     let mut balancer = acquainted(7);
     let silent = agent_address(7);
-    let word = |agent| (agent != silent).then_some(Word::Unsure);
+    let word = |agent| (agent != silent).then_some(FlowStatus::Unknown);
     let mut given = HashSet::new();
     let mut trials = 0;
     for at in (1..3_900).step_by(20) {
@@ -245,20 +245,20 @@
     let mut balancer = acquainted(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let early = |agent| match agent == agent_address(1) {
-        true => Some(Word::Early),
-        false => Some(Word::Absent),
+        true => Some(FlowStatus::NotReady),
+        false => Some(FlowStatus::Absent),
     };
     let outputs = answer_all(&mut balancer, milliseconds(3), early);
     assert_eq!((tried(&outputs).len(), resets(&outputs)), (0, 0));
     balancer.handle_timeout(milliseconds(50));
-    let outputs = answer_all(&mut balancer, milliseconds(51), |_| Some(Word::Absent));
+    let outputs = answer_all(&mut balancer, milliseconds(51), |_| Some(FlowStatus::Absent));
     assert_eq!(asked(&outputs), [agent_address(1)]);
     assert_eq!(resets(&outputs), 1);
 }
 
 #[test]
 fn after_a_restart_of_everything_nodes_that_do_not_come_back_hold_up_no_answer() {
-    let restarted = LoadReport { begun_ms_ago: Some(100), ..load() };
+    let restarted = LoadReport { backend_age_ms: Some(100), ..load() };
     let mut balancer = acquainted(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     serve_timers(&mut balancer, 10, 99);
@@ -267,7 +267,7 @@
     }
     serve_timers(&mut balancer, 100, 119);
     balancer.handle_caller(milliseconds(120), &packet(&request()));
-    let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
+    let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(121), deny)), 0);
     serve_timers(&mut balancer, 121, 320);
     balancer.handle_caller(milliseconds(320), &packet(&request()));
@@ -276,7 +276,7 @@
 
 #[test]
 fn a_balancer_that_was_cut_off_at_its_start_waits_for_who_was_not_heard() {
-    let restarted = LoadReport { begun_ms_ago: Some(900), ..load() };
+    let restarted = LoadReport { backend_age_ms: Some(900), ..load() };
     let mut balancer = acquainted(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     // All started together; the agents are heard 0.9 s later, one of them not any more.
@@ -284,45 +284,45 @@
         tell(&mut balancer, milliseconds(900), agent, restarted.clone());
     }
     balancer.handle_caller(milliseconds(950), &packet(&request()));
-    let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
+    let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(951), deny)), 0);
 }
 
 #[test]
 fn a_balancer_that_started_later_than_the_rest_waits_for_who_was_not_heard() {
     // Everything restarted three seconds ago, this balancer again just now.
-    let restarted = LoadReport { begun_ms_ago: Some(3_000), ..load() };
+    let restarted = LoadReport { backend_age_ms: Some(3_000), ..load() };
     let mut balancer = acquainted(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(100), agent, restarted.clone());
     }
     balancer.handle_caller(milliseconds(800), &packet(&request()));
-    let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
+    let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(801), deny)), 0);
 }
 
 #[test]
 fn one_back_end_of_before_and_not_everything_has_restarted() {
-    let restarted = LoadReport { begun_ms_ago: Some(100), ..load() };
+    let restarted = LoadReport { backend_age_ms: Some(100), ..load() };
     let mut balancer = acquainted(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     tell(&mut balancer, milliseconds(100), 1, restarted.clone());
     tell(&mut balancer, milliseconds(100), 2, restarted);
-    tell(&mut balancer, milliseconds(100), 3, LoadReport { begun_ms_ago: Some(9_000), ..load() });
+    tell(&mut balancer, milliseconds(100), 3, LoadReport { backend_age_ms: Some(9_000), ..load() });
     balancer.handle_caller(milliseconds(400), &packet(&request()));
-    let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
+    let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(401), deny)), 0);
 }
 
 #[test]
 fn packets_that_ask_for_nothing_are_never_reset() {
-    let finish = Segment { finishes: true, payload_bytes: 0, ..request() };
+    let finish = Segment { fin: true, payload_bytes: 0, ..request() };
     let acknowledgement = Segment { payload_bytes: 0, ..request() };
-    for segment in [finish, acknowledgement, Segment { finishes: true, ..request() }] {
+    for segment in [finish, acknowledgement, Segment { fin: true, ..request() }] {
         let mut balancer = acquainted(3);
         balancer.handle_caller(milliseconds(1), &packet(&segment));
-        let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(Word::Absent));
+        let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(FlowStatus::Absent));
         assert_eq!(asked(&outputs).len(), 3);
         assert_eq!(resets(&outputs), 0, "{segment:?}");
     }
@@ -334,12 +334,12 @@
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     outputs_of(&mut balancer);
     let stranger = address("10.9.9.9:7720");
-    for message in [found(1, Word::Held), Message::Ended { flow: flow_named(1) }] {
+    for message in [found(1, FlowStatus::Owned), Message::Ended { flow: flow_named(1) }] {
         balancer.handle_peer(milliseconds(2), stranger, &message.encode());
         assert_eq!(outputs_of(&mut balancer), []);
     }
-    assert_eq!(resets(&say(&mut balancer, milliseconds(2), stranger, Word::Absent)), 0);
-    balancer.handle_peer(milliseconds(2), agent_address(1), &found(2, Word::Absent).encode());
+    assert_eq!(resets(&say(&mut balancer, milliseconds(2), stranger, FlowStatus::Absent)), 0);
+    balancer.handle_peer(milliseconds(2), agent_address(1), &found(2, FlowStatus::Absent).encode());
     assert_eq!(outputs_of(&mut balancer), []);
     assert_eq!(balancer.counters(milliseconds(2)).answers_unexpected, 4);
 }
@@ -352,7 +352,7 @@
     balancer.handle_caller(milliseconds(2), &packet(&opening(1)));
     for agent in 1..=3 {
         let agent = agent_address(agent);
-        assert_eq!(resets(&say(&mut balancer, milliseconds(3), agent, Word::Absent)), 0);
+        assert_eq!(resets(&say(&mut balancer, milliseconds(3), agent, FlowStatus::Absent)), 0);
     }
 }
 
@@ -361,13 +361,13 @@
     for age in [20, 2_500] {
         let mut balancer = acquainted(3);
         balancer.handle_caller(milliseconds(1), &packet(&request()));
-        let outputs = answer_all(&mut balancer, milliseconds(2), |_| Some(Word::Absent));
+        let outputs = answer_all(&mut balancer, milliseconds(2), |_| Some(FlowStatus::Absent));
         assert_eq!(resets(&outputs), 1);
         // The next flow opened through another balancer; its back end's numbers are others.
         let next = data(1, 77_000_000, 2_000_000_000);
         balancer.handle_caller(milliseconds(40 + age), &packet(&next));
         let outputs = answer_all(&mut balancer, milliseconds(40 + age), |agent| {
-            (agent != agent_address(2)).then_some(Word::Absent)
+            (agent != agent_address(2)).then_some(FlowStatus::Absent)
         });
         assert_eq!(asked(&outputs).len(), 3, "all are asked anew");
         assert_eq!(resets(&outputs), 0);
@@ -378,9 +378,9 @@
 fn words_are_asked_for_anew_once_they_are_old() {
     let mut balancer = acquainted(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
-    answer_all(&mut balancer, milliseconds(2), |_| Some(Word::Absent));
+    answer_all(&mut balancer, milliseconds(2), |_| Some(FlowStatus::Absent));
     balancer.handle_caller(milliseconds(1_600), &packet(&request()));
-    let outputs = answer_all(&mut balancer, milliseconds(1_600), |_| Some(Word::Absent));
+    let outputs = answer_all(&mut balancer, milliseconds(1_600), |_| Some(FlowStatus::Absent));
     assert_eq!((asked(&outputs).len(), resets(&outputs)), (3, 1));
 }
 
@@ -392,7 +392,7 @@
         balancer.handle_caller(milliseconds(1), part);
     }
     outputs_of(&mut balancer);
-    let held = found(1, Word::Held);
+    let held = found(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(2), agent_address(2), &held.encode());
     let sent: Vec<Vec<u8>> = outputs_of(&mut balancer)
         .into_iter()
@@ -439,7 +439,7 @@
     }
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
-    let outputs = answer_all(&mut balancer, milliseconds(2), |_| Some(Word::Absent));
+    let outputs = answer_all(&mut balancer, milliseconds(2), |_| Some(FlowStatus::Absent));
     assert_eq!(asked(&outputs).len(), 512);
     assert_eq!(resets(&outputs), 0);
 }
@@ -468,14 +468,14 @@
 fn back_ends_of_agents_that_may_have_forgotten_are_tried_a_few_at_a_time() {
     let mut balancer = acquainted(12);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
-    let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(Word::Unsure));
+    let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(FlowStatus::Unknown));
     let first = tried(&outputs);
     assert_eq!(first.len(), 4);
     let mut open = first;
     let mut all = 0;
     while let Some(agent) = open.pop() {
         all += 1;
-        let outputs = say(&mut balancer, milliseconds(5), agent, Word::Absent);
+        let outputs = say(&mut balancer, milliseconds(5), agent, FlowStatus::Absent);
         assert_eq!(resets(&outputs), usize::from(all == 12), "after {all}");
         open.extend(tried(&outputs));
     }
--- a/crates/carried/tests/recovery.rs
+++ b/crates/carried/tests/recovery.rs
@@ -19,7 +19,7 @@
         condition: BackendCondition::Accepting,
         capacity: 4,
         waiting: 8,
-        work_us: 50_000,
+        service_time_us: 50_000,
         ..LoadReport::default()
     }
 }
@@ -88,7 +88,7 @@
     let (asked, _) = decline_all(&mut balancer, milliseconds(41));
     assert!(!asked.is_empty());
     let is_late_line =
-        |admission: &Admission| matches!(admission, Admission::Line { within_ms: 0, .. });
+        |admission: &Admission| matches!(admission, Admission::WaitQueue { within_ms: 0, .. });
     assert!(asked.iter().all(is_late_line), "{asked:?}");
 }
 
@@ -113,7 +113,7 @@
             }
             let Some((to, number, admission)) = offer_of(&output) else { continue };
             last_offer = now;
-            if !matches!(admission, Admission::Line { .. }) {
+            if !matches!(admission, Admission::WaitQueue { .. }) {
                 declines.push((at + decline_after, to, number));
             }
         }
--- a/crates/carried/tests/repair.rs
+++ b/crates/carried/tests/repair.rs
@@ -3,21 +3,21 @@
 mod support;
 
 use loftdrift_carried::{
-    BackendCondition, BackendReport, CarriedBalancer, FlowMemory, FlowWord, LoadReport, Message,
-    NodeRole, Output, Segment, Word,
+    BackendCondition, BackendReport, CarriedBalancer, FlowAnswer, FlowKnowledge, FlowStatus,
+    LoadReport, Message, NodeRole, Output, Segment,
 };
 use std::time::Duration;
 use support::*;
 
 const AGENTS: u8 = 20;
 
-fn load(memory: FlowMemory, up_ms: u32) -> LoadReport {
+fn load(memory: FlowKnowledge, up_ms: u32) -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
         capacity: 4,
         memory,
-        up_ms: Some(up_ms),
+        uptime_ms: Some(up_ms),
         ..LoadReport::default()
     }
 }
@@ -44,12 +44,13 @@
     data(port, 101, 501)
 }
 
-fn word_of(port: u16, up_ms: u32, word: Word) -> Vec<u8> {
-    Message::Found { up_ms, words: vec![FlowWord { flow: flow_named(port), word }] }.encode()
+fn word_of(port: u16, uptime_ms: u32, status: FlowStatus) -> Vec<u8> {
+    Message::LookupReply { uptime_ms, answers: vec![FlowAnswer { flow: flow_named(port), status }] }
+        .encode()
 }
 
 /// Has every agent that is asked for a flow say the same; gives all outputs.
-fn say_all(balancer: &mut CarriedBalancer, up_ms: u32, word: Word) -> Vec<Output> {
+fn say_all(balancer: &mut CarriedBalancer, up_ms: u32, word: FlowStatus) -> Vec<Output> {
     let mut all = Vec::new();
     for at in 101..160 {
         balancer.handle_timeout(milliseconds(at));
@@ -65,7 +66,7 @@
 
 #[test]
 fn agents_that_have_forgotten_are_not_asked_what_they_cannot_know() {
-    let mut balancer = hearing(|_| load(FlowMemory::Partial, 60_000));
+    let mut balancer = hearing(|_| load(FlowKnowledge::Partial, 60_000));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     balancer.handle_timeout(milliseconds(101));
     let outputs = outputs_of(&mut balancer);
@@ -75,9 +76,9 @@
 
 #[test]
 fn after_a_loss_of_all_power_a_flow_of_before_is_told_to_be_over_without_a_trial() {
-    let mut balancer = hearing(|_| load(FlowMemory::Presumed, 90));
+    let mut balancer = hearing(|_| load(FlowKnowledge::PresumedComplete, 90));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let outputs = say_all(&mut balancer, 95, Word::Unsure);
+    let outputs = say_all(&mut balancer, 95, FlowStatus::Unknown);
     assert_eq!(tried(&outputs), [], "no back end of before lives");
     assert_eq!(resets(&outputs), 1);
 }
@@ -86,11 +87,11 @@
 fn processes_that_are_killed_together_beside_living_back_ends_are_no_loss_of_power() {
     let mut balancer = hearing(|agent| match agent {
         // One in five heard a regular heartbeat as soon as if the back end had just started.
-        1..=4 => load(FlowMemory::Presumed, 90),
-        _ => load(FlowMemory::Partial, 90),
+        1..=4 => load(FlowKnowledge::PresumedComplete, 90),
+        _ => load(FlowKnowledge::Partial, 90),
     });
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let outputs = say_all(&mut balancer, 95, Word::Unsure);
+    let outputs = say_all(&mut balancer, 95, FlowStatus::Unknown);
     assert_eq!(resets(&outputs), 0);
     assert!(!tried(&outputs).is_empty(), "back ends are to tell");
 }
@@ -98,19 +99,24 @@
 #[test]
 fn back_ends_that_restart_at_different_times_are_no_loss_of_power() {
     let up_ms = |agent: u8| 90 + 500 * u32::from(agent);
-    let mut balancer = hearing(|agent| load(FlowMemory::Presumed, up_ms(agent)));
+    let mut balancer = hearing(|agent| load(FlowKnowledge::PresumedComplete, up_ms(agent)));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let outputs = say_all(&mut balancer, 95, Word::Unsure);
+    let outputs = say_all(&mut balancer, 95, FlowStatus::Unknown);
     assert_eq!(resets(&outputs), 0);
 }
 
 #[test]
 fn an_agent_that_was_killed_once_more_after_the_loss_of_power_stays_unsure() {
-    let mut balancer = hearing(|_| load(FlowMemory::Presumed, 90));
+    let mut balancer = hearing(|_| load(FlowKnowledge::PresumedComplete, 90));
     // Three seconds later one process is replaced; balancers hold its earlier word.
     serve(&mut balancer, 101, 3_100);
     for agent in 1..=AGENTS {
-        tell(&mut balancer, milliseconds(3_100), agent, load(FlowMemory::Presumed, 3_090));
+        tell(
+            &mut balancer,
+            milliseconds(3_100),
+            agent,
+            load(FlowKnowledge::PresumedComplete, 3_090),
+        );
     }
     let killed = agent_address(7);
     outputs_of(&mut balancer);
@@ -122,7 +128,7 @@
         told += resets(&outputs);
         for agent in asked(&outputs) {
             let up_ms = if agent == killed { 40 } else { 3_090 };
-            balancer.handle_peer(milliseconds(at), agent, &word_of(1, up_ms, Word::Unsure));
+            balancer.handle_peer(milliseconds(at), agent, &word_of(1, up_ms, FlowStatus::Unknown));
         }
         assert!(tried(&outputs).iter().all(|agent| *agent == killed));
     }
@@ -132,8 +138,10 @@
 #[test]
 fn a_machine_that_came_back_without_a_back_end_and_went_holds_up_no_answer() {
     let mut balancer = hearing(|agent| match agent {
-        3 => LoadReport { condition: BackendCondition::Unknown, ..load(FlowMemory::Partial, 90) },
-        _ => load(FlowMemory::Presumed, 90),
+        3 => {
+            LoadReport { condition: BackendCondition::Unknown, ..load(FlowKnowledge::Partial, 90) }
+        }
+        _ => load(FlowKnowledge::PresumedComplete, 90),
     });
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     let mut told = 0;
@@ -142,7 +150,7 @@
         let outputs = outputs_of(&mut balancer);
         told += resets(&outputs);
         for agent in asked(&outputs).into_iter().filter(|agent| *agent != agent_address(3)) {
-            balancer.handle_peer(milliseconds(at), agent, &word_of(1, 95, Word::Unsure));
+            balancer.handle_peer(milliseconds(at), agent, &word_of(1, 95, FlowStatus::Unknown));
         }
     }
     assert_eq!(told, 1);
@@ -155,7 +163,7 @@
 fn a_process_that_runs_late_begins_few_searches_and_more_once_it_keeps_up() {
     let flows = 1_000;
     let begun = |lateness_ms: u64| {
-        let mut balancer = hearing(|_| load(FlowMemory::Partial, 60_000));
+        let mut balancer = hearing(|_| load(FlowKnowledge::Partial, 60_000));
         let mut at = 101;
         for port in 1..=flows {
             balancer.handle_caller(milliseconds(at), &packet(&request(port)));
@@ -166,7 +174,7 @@
             at = at.max(due.as_millis() as u64 + lateness_ms).max(at + 1);
             balancer.handle_timeout(milliseconds(at));
             for output in outputs_of(&mut balancer) {
-                if let Output::ToPeer { message: Message::Try { datagram }, .. } = output {
+                if let Output::ToPeer { message: Message::TryForward { datagram }, .. } = output {
                     flows_tried.insert(datagram);
                 }
             }
@@ -182,7 +190,7 @@
 
 #[test]
 fn flows_whose_callers_wait_are_searched_for_first() {
-    let mut balancer = hearing(|_| load(FlowMemory::Whole, 60_000));
+    let mut balancer = hearing(|_| load(FlowKnowledge::Complete, 60_000));
     let silent = |port| Segment { payload_bytes: 0, ..request(port) };
     (1..=300).for_each(|port| {
         balancer.handle_caller(milliseconds(101), &packet(&silent(port)));
@@ -192,8 +200,8 @@
     for at in 101..500 {
         balancer.handle_timeout(milliseconds(at));
         for output in outputs_of(&mut balancer) {
-            if let Output::ToPeer { message: Message::Find { questions }, .. } = output {
-                order.extend(questions.iter().map(|question| question.flow.caller.port()));
+            if let Output::ToPeer { message: Message::Lookup { queries }, .. } = output {
+                order.extend(queries.iter().map(|question| question.flow.caller.port()));
             }
         }
     }
@@ -207,7 +215,7 @@
 }
 
 /// What an agent of this back end says of its memory to a balancer that greets it.
-fn memory_after(started_ms: u64, heard: &BackendReport) -> FlowMemory {
+fn memory_after(started_ms: u64, heard: &BackendReport) -> FlowKnowledge {
     let mut agent = agent(false);
     agent.take_report(milliseconds(started_ms), heard);
     agent.handle_peer(
@@ -220,18 +228,22 @@
         _ => None,
     });
     let report = report.expect("an offer of another service is declined");
-    assert_eq!(report.up_ms, Some(started_ms as u32));
+    assert_eq!(report.uptime_ms, Some(started_ms as u32));
     report.memory
 }
 
 #[test]
 fn an_agent_presumes_to_know_every_flow_of_a_cold_back_end_that_is_heard_at_once() {
     let first = heartbeat(1, 2_000);
-    assert_eq!(memory_after(900, &first), FlowMemory::Whole, "the very first heartbeat");
-    assert_eq!(memory_after(40, &heartbeat(2, 1_950)), FlowMemory::Presumed);
-    assert_eq!(memory_after(40, &heartbeat(2, 0)), FlowMemory::Partial, "warm: it has run before");
-    assert_eq!(memory_after(40, &heartbeat(9, 500)), FlowMemory::Partial, "not its first ones");
-    assert_eq!(memory_after(900, &heartbeat(2, 1_950)), FlowMemory::Partial, "heard late");
+    assert_eq!(memory_after(900, &first), FlowKnowledge::Complete, "the very first heartbeat");
+    assert_eq!(memory_after(40, &heartbeat(2, 1_950)), FlowKnowledge::PresumedComplete);
+    assert_eq!(
+        memory_after(40, &heartbeat(2, 0)),
+        FlowKnowledge::Partial,
+        "warm: it has run before"
+    );
+    assert_eq!(memory_after(40, &heartbeat(9, 500)), FlowKnowledge::Partial, "not its first ones");
+    assert_eq!(memory_after(900, &heartbeat(2, 1_950)), FlowKnowledge::Partial, "heard late");
 }
 
 #[test]
@@ -241,7 +253,9 @@
     agent.handle_peer(milliseconds(250), balancer_address(), &find(1, 501));
     let ages: Vec<u32> = std::iter::from_fn(|| agent.take_output())
         .filter_map(|output| match output {
-            Output::ToPeer { message: Message::Found { up_ms, .. }, .. } => Some(up_ms),
+            Output::ToPeer { message: Message::LookupReply { uptime_ms, .. }, .. } => {
+                Some(uptime_ms)
+            }
             _ => None,
         })
         .collect();
@@ -270,7 +284,7 @@
     assert!(agent.has_ended());
     assert!(milliseconds(at) <= NOBODY_WITHIN, "{at} ms");
     agent.handle_peer(milliseconds(at), balancer_address(), &find(1, 501));
-    assert!(outputs(&mut agent).contains(&says(1, Word::Absent)));
+    assert!(outputs(&mut agent).contains(&says(1, FlowStatus::Absent)));
     agent.take_report(milliseconds(at + 1), &report("two", 1, true));
     assert!(!agent.has_ended(), "one that starts later is taken");
 }
--- a/crates/carried/tests/store_watch.rs
+++ b/crates/carried/tests/store_watch.rs
@@ -128,11 +128,11 @@
 fn heartbeat_bytes(young_ms: Option<u32>) -> usize {
     let load = LoadReport {
         service: "service-a".to_owned(),
-        work_us: 40_000,
+        service_time_us: 40_000,
         measured_ms_ago: 5_000,
-        begun_ms_ago: young_ms,
-        up_ms: young_ms,
-        in_line: 200,
+        backend_age_ms: young_ms,
+        uptime_ms: young_ms,
+        queued: 200,
         ..LoadReport::default()
     };
     let heartbeat = Heartbeat {
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -3,9 +3,9 @@
 
 use loftdrift_carried::{
     Admission, BackendReport, CarriedAgent, CarriedAgentSettings, CarriedBalancer,
-    CarriedBalancerSettings, CarriedConfiguration, Confirmation, DeclineReason, FlowName,
-    FlowQuestion, FlowWord, Heartbeat, Incarnation, LoadReport, Message, Node, NodeRole, Output,
-    Part, PlainFormat, Policies, Position, Route, Segment, ServiceSettings, Version, Word,
+    CarriedBalancerSettings, CarriedConfiguration, Confirmation, DeclineReason, FlowAnswer,
+    FlowName, FlowQuery, FlowStatus, Heartbeat, Incarnation, LoadReport, Message, Node, NodeRole,
+    Output, PlainFormat, Policies, Position, Route, RouteTarget, Segment, ServiceSettings, Version,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
@@ -51,8 +51,8 @@
 }
 
 pub fn route(address: SocketAddrV4, service: &str) -> Route {
-    let parts = vec![Part { service: service.to_owned(), weight: 1 }];
-    Route { address, parts, aim_ms: 250, priority: 1, regions: Vec::new() }
+    let targets = vec![RouteTarget { service: service.to_owned(), weight: 1 }];
+    Route { address, targets, target_latency_ms: 250, priority: 1, regions: Vec::new() }
 }
 
 /// The version of what was read at a revision of a store that has never gone back.
@@ -90,7 +90,7 @@
 
 pub fn report(id: &str, sequence: u64, is_ready: bool) -> BackendReport {
     BackendReport {
-        incarnation: Incarnation::without_birth(id),
+        incarnation: Incarnation::without_start_time(id),
         service: SERVICE.to_owned(),
         capacity: 4,
         is_ready,
@@ -101,17 +101,17 @@
 
 /// A start that tells no birth and is gone.
 pub fn gone(id: &str) -> Incarnation {
-    Incarnation::without_birth(id)
+    Incarnation::without_start_time(id)
 }
 
 pub fn opening(port: u16) -> Segment {
-    Segment { opens: true, sequence: 100, ..Segment::between(caller(port), service_address()) }
+    Segment { syn: true, sequence: 100, ..Segment::between(caller(port), service_address()) }
 }
 
 /// A caller's packet that acknowledges what the back end has sent up to `acknowledgement`.
 pub fn data(port: u16, sequence: u32, acknowledgement: u32) -> Segment {
     Segment {
-        acknowledges: true,
+        ack: true,
         sequence,
         acknowledgement,
         payload_bytes: 10,
@@ -120,7 +120,7 @@
 }
 
 pub fn answer(port: u16, sequence: u32) -> Segment {
-    Segment { acknowledges: true, sequence, ..Segment::between(service_address(), caller(port)) }
+    Segment { ack: true, sequence, ..Segment::between(service_address(), caller(port)) }
 }
 
 pub fn packet(segment: &Segment) -> Vec<u8> {
@@ -139,8 +139,8 @@
 /// What an agent does; its age stands as 0 in its words, and a test of its own checks it.
 pub fn outputs(agent: &mut CarriedAgent) -> Vec<Output> {
     let ageless = |output| match output {
-        Output::ToPeer { to, message: Message::Found { words, .. } } => {
-            Output::ToPeer { to, message: Message::Found { up_ms: 0, words } }
+        Output::ToPeer { to, message: Message::LookupReply { answers, .. } } => {
+            Output::ToPeer { to, message: Message::LookupReply { uptime_ms: 0, answers } }
         }
         output => output,
     };
@@ -161,7 +161,7 @@
 /// Opens a flow at the agent: offered, answered by the back end with sequence number `sequence`.
 pub fn open(agent: &mut CarriedAgent, now: Duration, port: u16, sequence: u32) {
     agent.handle_peer(now, balancer_address(), &offer(u64::from(port), port, Admission::FreeSlot));
-    let syn_ack = Segment { opens: true, ..answer(port, sequence) };
+    let syn_ack = Segment { syn: true, ..answer(port, sequence) };
     agent.handle_backend(now, packet(&syn_ack));
 }
 
@@ -192,7 +192,7 @@
         configuration: at(1),
         digest: 0,
         confirmation: None,
-        store_returns: 0,
+        store_restores: 0,
         report: Some(report),
         wants_reply: false,
     })
@@ -202,7 +202,7 @@
 pub fn heartbeat_of(
     zone: &str,
     confirmation: Option<Confirmation>,
-    store_returns: u32,
+    store_restores: u32,
 ) -> Heartbeat {
     Heartbeat {
         role: NodeRole::Balancer,
@@ -213,7 +213,7 @@
         configuration: at(1),
         digest: 0,
         confirmation,
-        store_returns,
+        store_restores,
         report: None,
         wants_reply: false,
     }
@@ -269,8 +269,8 @@
 /// The question whether a flow lives at an agent.
 pub fn find(port: u16, acknowledged: u32) -> Vec<u8> {
     let acknowledged = Some(acknowledged);
-    let questions = vec![FlowQuestion { flow: flow_named(port), acknowledged }];
-    Message::Find { questions }.encode()
+    let queries = vec![FlowQuery { flow: flow_named(port), acknowledged }];
+    Message::Lookup { queries }.encode()
 }
 
 pub fn to_balancer(message: Message) -> Output {
@@ -278,19 +278,22 @@
 }
 
 /// An agent's word about a flow.
-pub fn found(port: u16, word: Word) -> Message {
-    Message::Found { up_ms: 0, words: vec![FlowWord { flow: flow_named(port), word }] }
+pub fn found(port: u16, status: FlowStatus) -> Message {
+    Message::LookupReply {
+        uptime_ms: 0,
+        answers: vec![FlowAnswer { flow: flow_named(port), status }],
+    }
 }
 
 /// An agent's word about a flow, as it goes out.
-pub fn says(port: u16, word: Word) -> Output {
+pub fn says(port: u16, word: FlowStatus) -> Output {
     to_balancer(found(port, word))
 }
 
 /// Agents that are asked whether a flow lives there.
 pub fn asked(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let asked = outputs.iter().filter_map(|output| match output {
-        Output::ToPeer { to, message: Message::Find { .. } } => Some(*to),
+        Output::ToPeer { to, message: Message::Lookup { .. } } => Some(*to),
         _ => None,
     });
     asked.collect()
@@ -299,7 +302,7 @@
 /// Agents whose back end is to tell.
 pub fn tried(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let tried = outputs.iter().filter_map(|output| match output {
-        Output::ToPeer { to, message: Message::Try { .. } } => Some(*to),
+        Output::ToPeer { to, message: Message::TryForward { .. } } => Some(*to),
         _ => None,
     });
     tried.collect()
--- a/crates/carried/tests/work.rs
+++ b/crates/carried/tests/work.rs
@@ -26,8 +26,7 @@
 
 /// The back end answers a request whole.
 fn finish(agent: &mut CarriedAgent, at: u64, port: u16) {
-    let segment =
-        loftdrift_carried::Segment { finishes: true, payload_bytes: 10, ..answer(port, 501) };
+    let segment = loftdrift_carried::Segment { fin: true, payload_bytes: 10, ..answer(port, 501) };
     agent.handle_backend(milliseconds(at), packet(&segment));
 }
 
@@ -36,7 +35,9 @@
     let wrong = offer_to("another", 1, 60_000, Admission::FreeSlot);
     agent.handle_peer(milliseconds(at), balancer_address(), &wrong);
     let told = outputs(agent).into_iter().find_map(|output| match output {
-        Output::ToPeer { message: Message::Declined { report, .. }, .. } => Some(report.work_us),
+        Output::ToPeer { message: Message::Declined { report, .. }, .. } => {
+            Some(report.service_time_us)
+        }
         _ => None,
     });
     (u64::from(told.expect("an answer")) + 500) / 1_000
--- a/crates/lab/src/carried/backend.rs
+++ b/crates/lab/src/carried/backend.rs
@@ -100,7 +100,7 @@
     pub(super) fn report(&mut self) -> BackendReport {
         self.sequence += 1;
         BackendReport {
-            incarnation: Incarnation::without_birth(format!("start-{}", self.start)),
+            incarnation: Incarnation::without_start_time(format!("start-{}", self.start)),
             service: self.service.to_owned(),
             capacity: self.slots as u16,
             is_ready: !self.is_leaving,
@@ -114,7 +114,7 @@
         let mut reaction = Reaction::default();
         let Ok(segment) = PlainFormat.parse(packet) else { return reaction };
         let key = segment.flow();
-        if segment.is_opening() {
+        if segment.is_syn() {
             self.receive_opening(key, &segment, packet, &mut reaction);
             return reaction;
         }
@@ -226,13 +226,13 @@
 
 fn syn_ack(key: &FlowKey, sequence: u32) -> Vec<u8> {
     let head = Segment::between(key.service, key.caller);
-    PlainFormat::write(&Segment { opens: true, acknowledges: true, sequence, ..head }, &[])
+    PlainFormat::write(&Segment { syn: true, ack: true, sequence, ..head }, &[])
 }
 
 /// An answer repeats its request's bytes, so that a caller knows its own.
-fn answer(key: &FlowKey, flow: &Flow, finishes: bool) -> Vec<u8> {
+fn answer(key: &FlowKey, flow: &Flow, fin: bool) -> Vec<u8> {
     let head = Segment::between(key.service, key.caller);
     let sequence = flow.sequence.wrapping_add(flow.answer_from);
-    let segment = Segment { acknowledges: true, finishes, sequence, ..head };
+    let segment = Segment { ack: true, fin, sequence, ..head };
     PlainFormat::write(&segment, &flow.request)
 }
--- a/crates/lab/src/carried/caller.rs
+++ b/crates/lab/src/carried/caller.rs
@@ -152,7 +152,7 @@
         }
         let head = Segment::between(self.address, self.service);
         let sequence = self.first_number();
-        let segment = Segment { opens: true, sequence, acknowledgement: copies as u32, ..head };
+        let segment = Segment { syn: true, sequence, acknowledgement: copies as u32, ..head };
         self.state = CallerState::Opening { copies: copies + 1 };
         let next = COPIES_AFTER_MS.get(copies).map(|ms| Duration::from_millis(*ms));
         let wakes_at = self.try_started + next.unwrap_or(OPENING_LASTS);
@@ -167,8 +167,7 @@
     fn send_request(&mut self, now: Duration, sequence: u32) -> CallerStep {
         let head = Segment::between(self.address, self.service);
         let own = self.first_number().wrapping_add(self.sent);
-        let segment =
-            Segment { acknowledges: true, sequence: own, acknowledgement: sequence, ..head };
+        let segment = Segment { ack: true, sequence: own, acknowledgement: sequence, ..head };
         let pause = REPEAT_AFTER * 2_u32.pow(self.repeats.min(3));
         self.repeats += 1;
         self.wait_until(now + pause, Some(PlainFormat::write(&segment, &self.request())))
@@ -182,16 +181,16 @@
         next_address: SocketAddrV4,
     ) -> CallerStep {
         let Ok(segment) = PlainFormat.parse(packet) else { return CallerStep::default() };
-        if segment.resets && !self.heeds(&segment) {
+        if segment.rst && !self.heeds(&segment) {
             return CallerStep::default();
         }
         match self.state {
-            CallerState::Opening { .. } if segment.resets => self.try_again(now, next_address),
-            CallerState::Opening { .. } if segment.opens => {
+            CallerState::Opening { .. } if segment.rst => self.try_again(now, next_address),
+            CallerState::Opening { .. } if segment.syn => {
                 self.state = CallerState::Open { sequence: segment.sequence };
                 self.send_request(now, segment.sequence)
             }
-            CallerState::Open { .. } | CallerState::Resting { .. } if segment.resets => {
+            CallerState::Open { .. } | CallerState::Resting { .. } if segment.rst => {
                 let step = self.lose_flow(now, next_address);
                 CallerStep { was_broken: true, ..step }
             }
@@ -232,10 +231,10 @@
     fn rest(&mut self, now: Duration, segment: &Segment, next_address: SocketAddrV4) -> CallerStep {
         let pause = PAUSES[self.number as usize % PAUSES.len()];
         let sequence = segment.end();
-        let acknowledgement = self.send_acknowledgement(sequence, segment.finishes);
+        let acknowledgement = self.send_acknowledgement(sequence, segment.fin);
         self.sent += self.request().len() as u32;
         self.state = CallerState::Resting { sequence };
-        if segment.finishes {
+        if segment.fin {
             self.begin_round(now + pause);
             self.open_anew(next_address);
         }
@@ -273,9 +272,9 @@
         self.try_again(now, address)
     }
 
-    fn send_acknowledgement(&self, acknowledgement: u32, finishes: bool) -> Vec<u8> {
+    fn send_acknowledgement(&self, acknowledgement: u32, fin: bool) -> Vec<u8> {
         let head = Segment::between(self.address, self.service);
-        let segment = Segment { acknowledges: true, finishes, acknowledgement, ..head };
+        let segment = Segment { ack: true, fin, acknowledgement, ..head };
         PlainFormat::write(&segment, &[])
     }
 
--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -96,7 +96,7 @@
         let is_foreign = is_first && backend.service != SERVICES[0];
         self.outcome.foreign_runs += u64::from(is_foreign);
         let route = self.store.wanted().routes.iter().find(|route| route.address == flow.service);
-        let is_old = route.is_none_or(|route| route.parts[0].service != backend.service);
+        let is_old = route.is_none_or(|route| route.targets[0].service != backend.service);
         let is_settled = self.now > self.changed_at + BOUND;
         self.outcome.stale_configurations += u64::from(is_old && is_settled && !is_foreign);
     }
--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -66,7 +66,7 @@
     pub(super) fn route(&mut self, packet: Vec<u8>) {
         let Ok(segment) = PlainFormat.parse(&packet) else { return };
         let flow = segment.flow();
-        if segment.is_opening() && segment.acknowledgement == 0 {
+        if segment.is_syn() && segment.acknowledgement == 0 {
             // The port's next flow: nobody holds it yet.
             self.holders.remove(&flow);
             self.first_numbers.insert(flow, segment.sequence);
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -157,7 +157,7 @@
         if self.store_down_until > self.now {
             return;
         }
-        let current = &self.store.wanted().routes[1].parts[0].service;
+        let current = &self.store.wanted().routes[1].targets[0].service;
         let next = if current == SERVICES[0] { SERVICES[1] } else { SERVICES[0] };
         self.store.write_routes(self.now, configuration(next));
         self.written_at = self.now;
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -17,8 +17,8 @@
 use crate::queue::EventQueue;
 use loftdrift_carried::{
     CarriedAgent, CarriedAgentSettings, CarriedBalancer, CarriedBalancerSettings,
-    CarriedConfiguration, InputAge, Node, NodeRole, Output, Part, PlainFormat, Policies,
-    ProbeOutcome, Route, SegmentFormat, ServiceSettings, Version,
+    CarriedConfiguration, InputAge, Node, NodeRole, Output, PlainFormat, Policies, ProbeOutcome,
+    Route, RouteTarget, SegmentFormat, ServiceSettings, Version,
 };
 use loftdrift_wire::FlowKey;
 use rand::{Rng, SeedableRng};
@@ -355,8 +355,8 @@
 fn configuration(second: &str) -> CarriedConfiguration {
     let route = |number: usize, service: &str| Route {
         address: service_address(number),
-        parts: vec![Part { service: service.to_owned(), weight: 1 }],
-        aim_ms: AIM_MS,
+        targets: vec![RouteTarget { service: service.to_owned(), weight: 1 }],
+        target_latency_ms: AIM_MS,
         priority: 1,
         regions: Vec::new(),
     };
--- a/crates/lab/tests/starved.rs
+++ b/crates/lab/tests/starved.rs
@@ -46,7 +46,7 @@
 #[test]
 fn without_their_own_lateness_they_suspect_living_agents_at_each_size() {
     for size in SIZES {
-        let outcome = play(size, Policies::default().without(Policy::OwnLateness));
+        let outcome = play(size, Policies::default().without(Policy::SchedulingDelay));
         assert!(outcome.suspicions > 0, "{size:?}: {outcome:?}");
     }
 }
--- a/crates/node/src/member_list.rs
+++ b/crates/node/src/member_list.rs
@@ -122,5 +122,5 @@
 /// Whether a list that may be old names all that were entered up to a place. Where the store has come back
 /// before, it may be from before the return: its revisions are other writings' then.
 fn has_all_up_to(list: &MemberList, place: Position) -> bool {
-    !place.follows_a_return() && list.position >= place
+    !place.follows_restore() && list.position >= place
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -76,11 +76,11 @@
 fn mechanisms_are_on_unless_they_are_named() {
     use loftdrift_carried::Policy;
     let all = read(BALANCER).unwrap().policies;
-    assert!(Policy::ALL.into_iter().all(|policy| all.has(policy)));
+    assert!(Policy::ALL.into_iter().all(|policy| all.is_enabled(policy)));
     let text = format!("{BALANCER}policies_off = [\"own-zone\", \"fence\"]\n");
     let some = read(&text).unwrap().policies;
     for policy in Policy::ALL {
-        assert_eq!(some.has(policy), !["own-zone", "fence"].contains(&policy.name()));
+        assert_eq!(some.is_enabled(policy), !["own-zone", "fence"].contains(&policy.name()));
     }
     let text = format!("{BALANCER}policies_off = [\"own-zones\"]\n");
     let findings = read(&text).unwrap_err();
