--- a/crates/carried/src/cluster_state.rs
+++ b/crates/carried/src/cluster_state.rs
@@ -1,4 +1,4 @@
-//! What a node knows of the system besides its own work: the members and the configuration.
+//! A node's view of the cluster: the members, the configuration and the state of the shared store.
 
 use crate::configuration::CarriedConfiguration;
 use crate::membership::{Membership, Node};
@@ -11,22 +11,22 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// What became of a configuration that a node was given.
+/// What a node did with a configuration that it received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Adoption {
-    /// Nothing in it is newer than what is in force.
+    /// Ignored: it contains nothing newer than the one in force.
     Outdated,
-    /// It says what the one in force says, for a later revision.
+    /// Same content as the one in force, at a later version.
     Confirmed,
-    /// It is in force from now on.
+    /// Adopted, and its content differs.
     Changed,
 }
 
-/// Members and configuration, as one node knows them.
+/// Members, configuration and store state, as one node knows them.
 #[derive(Debug)]
 pub(crate) struct ClusterState {
     pub(crate) membership: Membership,
-    /// Its version only ever comes to cover more.
+    /// The configuration in force. Its version only ever changes to one that covers the former.
     pub(crate) configuration: CarriedConfiguration,
     /// Digest of the configuration in force.
     digest: u64,
@@ -38,7 +38,7 @@
 }
 
 impl ClusterState {
-    /// A node that knows nothing but itself.
+    /// Creates the state of a node that knows only itself.
     pub(crate) fn new(node: Node) -> Self {
         ClusterState {
             membership: Membership::new(node),
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The newest version that a peer has told of, or that is in force here.
+    /// The newest version that a peer has reported or that is in force here.
     pub(crate) fn newest_reported(&self) -> Version {
         self.newest_reported.join(self.configuration.version)
     }
@@ -67,10 +67,11 @@
         }
     }
 
-    /// The configuration in force and every node known that may live, itself included.
-    pub(crate) fn snapshot(&self, may_live: impl Fn(&SocketAddrV4) -> bool) -> Snapshot {
+    /// The configuration in force and all known nodes for which `may_be_alive` holds, this node
+    /// included.
+    pub(crate) fn snapshot(&self, may_be_alive: impl Fn(&SocketAddrV4) -> bool) -> Snapshot {
         let me = self.membership.me();
-        let peers = self.membership.peers().filter(|(address, _)| may_live(address));
+        let peers = self.membership.peers().filter(|(address, _)| may_be_alive(address));
         let peers = peers.map(|(address, peer)| (*address, peer.role));
         let is_known = self.configuration.version.is_known();
         Snapshot {
@@ -79,17 +80,18 @@
         }
     }
 
-    /// Puts in force what is newer of a configuration than the one in force.
+    /// Merges a received configuration into the one in force.
     pub(crate) fn adopt(&mut self, now: Duration, offered: CarriedConfiguration) -> Adoption {
         let in_force = self.configuration.version;
-        let says_the_same = offered.digest() == self.digest;
+        let has_same_content = offered.digest() == self.digest;
         if in_force.covers(&offered.version) {
-            if !says_the_same {
+            if !has_same_content {
                 log::info!(offered:% = offered.version, in_force:%; "configuration_passed_over");
             }
             return Adoption::Outdated;
         }
-        // Not the one with the higher revision: the store may have gone back and have given it out again.
+        // Merged, not replaced by the one with the higher revision: a restored store may have
+        // reused that revision.
         let joined = self.configuration.clone().join(offered);
         let digest = joined.digest();
         if in_force.is_known() && digest == self.digest {
@@ -113,22 +115,22 @@
         Adoption::Changed
     }
 
-    /// The zones that are evacuated, as far as is known here.
+    /// The evacuated zones, as far as this node knows.
     pub(crate) fn evacuated(&self) -> BTreeSet<String> {
         self.configuration.evacuated.union(self.retained.zones()).cloned().collect()
     }
 
-    /// Whether a zone is evacuated, as far as is known here.
+    /// Whether a zone is evacuated, as far as this node knows.
     pub(crate) fn is_evacuated(&self, zone: &str) -> bool {
         self.configuration.evacuated.contains(zone) || self.retained.zones().contains(zone)
     }
 
-    /// When evacuations that the store does not name end.
+    /// When the retained evacuations, which the store does not list, expire.
     pub(crate) fn next_retention_end(&self) -> Option<Duration> {
         self.retained.ends_at()
     }
 
-    /// Ends them when it is time; `true` when there were some.
+    /// Drops the retained evacuations once they have expired; returns `true` if there were any.
     pub(crate) fn expire_evacuations(&mut self, now: Duration) -> bool {
         if self.next_retention_end().is_none_or(|at| now < at) {
             return false;
@@ -139,7 +141,7 @@
         true
     }
 
-    /// A line for each zone that is evacuated from now on, or no longer.
+    /// Logs each zone whose evacuation has begun or ended.
     fn log_evacuations(&self, now: Duration, before: &BTreeSet<String>) {
         let after = self.evacuated();
         let confirmed = now.saturating_sub(self.store.confirmed_at());
@@ -154,15 +156,15 @@
         }
     }
 
-    /// Takes a peer's heartbeat; `true` when the peer is new. A peer that is ahead is asked for a
-    /// snapshot.
+    /// Handles a peer's heartbeat. Returns `true` if the peer is new, and a request for its
+    /// snapshot if its configuration is newer.
     pub(crate) fn on_heartbeat(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
         heartbeat: &Heartbeat,
     ) -> (bool, Option<Output>) {
-        let heard = self.membership.on_heartbeat(now, from, heartbeat);
+        let outcome = self.membership.on_heartbeat(now, from, heartbeat);
         self.newest_reported = self.newest_reported.join(heartbeat.configuration);
         self.note_peer_version(heartbeat);
         let is_ahead = !self.configuration.version.covers(&heartbeat.configuration);
@@ -170,10 +172,10 @@
         if let Some(confirmation) = heartbeat.confirmation.filter(|_| !is_ahead) {
             self.store.on_confirmation(now, confirmation);
         }
-        (heard.is_new, is_ahead.then_some(Output::FetchSnapshot { from }))
+        (outcome.is_new, is_ahead.then_some(Output::FetchSnapshot { from }))
     }
 
-    /// A peer that says the same knows up to which revision that holds.
+    /// A peer with the same content may know that it holds up to a later revision.
     fn note_peer_version(&mut self, heartbeat: &Heartbeat) {
         let version = self.configuration.version;
         if version.is_known() && heartbeat.digest == self.digest {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// The document in force holds for a later version; a line where that is of another era.
+    /// Sets the version of the document in force; logs a warning if the store's era has changed.
     fn raise_version(&mut self, version: Version) {
         let from = std::mem::replace(&mut self.configuration.version, version).position;
         let to = version.position;
@@ -190,7 +192,7 @@
         }
     }
 
-    /// The heartbeat to a peer, with an agent's load.
+    /// Builds the heartbeat to a peer; `report` is an agent's load.
     pub(crate) fn heartbeat(
         &self,
         now: Duration,
@@ -215,7 +217,7 @@
         Output::ToPeer { to, message: Message::Heartbeat(heartbeat) }
     }
 
-    /// Rest after which a flow may be forgotten; `default` until a configuration tells.
+    /// Idle time after which a flow may be forgotten; `default` if no configuration sets it.
     pub(crate) fn idle_timeout(&self, default: Duration) -> Duration {
         match self.configuration.idle_timeout_ms {
             0 => default,
--- a/crates/carried/src/configuration.rs
+++ b/crates/carried/src/configuration.rs
@@ -1,7 +1,7 @@
-//! What operators say about carried flows: which service answers at which address, and which zones
-//! are evacuated.
+//! The operators' configuration of carried flows: which services answer at which address, and which
+//! zones are evacuated.
 //!
-//! Both stand in one document with one version, so that they spread, are confirmed and outlive
+//! Both are in one document with one version, so that they spread, are confirmed and outlive
 //! processes in the same way.
 
 use crate::version::Version;
@@ -11,73 +11,74 @@
 use std::hash::Hasher;
 use std::net::SocketAddrV4;
 
-/// A service's share of a route's new flows.
+/// A service that takes a share of a route's new flows.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RouteTarget {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its weight beside the route's other parts.
+    /// Its weight relative to the route's other targets.
     pub weight: u32,
 }
 
-/// Where the new flows of one address go.
+/// How the new flows of one address are routed.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Route {
-    /// The address that callers dial.
+    /// The address that callers connect to.
     pub address: SocketAddrV4,
-    /// The services that share its new flows; one for most routes.
+    /// The services that share its new flows; most routes have one.
     pub targets: Vec<RouteTarget>,
-    /// Within how many milliseconds an answer is worth all that it can be; 0 when not told.
+    /// An answer within this many milliseconds has its full value to the caller; 0 if not set.
     pub target_latency_ms: u32,
-    /// How urgent its requests are; 0 is the most urgent.
+    /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// The regions whose back ends may take its flows; any where none is named.
+    /// The regions whose back ends may take its flows; all regions if empty.
     pub regions: Vec<String>,
 }
 
-/// What holds for one service.
+/// Settings of one service.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServiceSettings {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Path of its back ends' health page.
+    /// Path of its back ends' health check page.
     pub health_path: String,
-    /// Most flows at one back end; 0 when not told.
+    /// Maximum number of flows per back end; 0 if not set.
     pub max_connections: u32,
-    /// Thousandths of a new flow that a cold back end bears in a second; 0 when not told.
+    /// New flows per second that a cold back end can take, in thousandths of a flow; 0 if not set.
     pub cold_flows_milli: u32,
 }
 
-/// All that operators have said.
+/// The configuration document as written by the operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct CarriedConfiguration {
-    /// Documents of different versions may say the same, since each reader takes the revision of the
-    /// store that it read at.
+    /// Documents of different versions may have the same content, since each reader takes the store
+    /// revision that it read at.
     pub version: Version,
-    /// The routes, one an address.
+    /// The routes, one per address.
     pub routes: Vec<Route>,
-    /// The services.
+    /// Settings of the services that routes name.
     pub services: Vec<ServiceSettings>,
-    /// A flow may be forgotten when it has rested for so many milliseconds.
+    /// A flow may be forgotten after it has been idle for this many milliseconds.
     pub idle_timeout_ms: u32,
     /// Zones whose back ends take no new flows.
     pub evacuated: BTreeSet<String>,
 }
 
 impl CarriedConfiguration {
-    /// Tells documents apart by what they say; the version does not count.
+    /// Hash of the content, without the version.
     pub fn digest(&self) -> u64 {
         let content = (&self.routes, &self.services, self.idle_timeout_ms, &self.evacuated);
-        // Plain data in a growing buffer always encodes.
+        // Encoding plain data into a growing buffer cannot fail.
         let bytes = bincode::encode_to_vec(content, bincode::config::standard());
         let mut hasher = SipHasher13::new();
         hasher.write(&bytes.unwrap_or_default());
         hasher.finish()
     }
 
-    /// The document that lacks nothing of either. The store may have come back without the newest
-    /// configuration: a reading that is newer then brings its evacuations, and the configuration with the
-    /// operator's higher number stays.
+    /// Merges two documents so that the result contains everything that either has. The store may
+    /// have been restored from a copy without the newest configuration. The reading at the later
+    /// position then decides the evacuations, while the configuration with the operator's higher
+    /// number stays.
     #[must_use]
     pub fn join(self, other: CarriedConfiguration) -> CarriedConfiguration {
         let version = self.version.join(other.version);
@@ -90,32 +91,33 @@
         CarriedConfiguration { version, evacuated, ..newer }
     }
 
-    /// What holds for a service.
+    /// The settings of a service.
     pub fn service(&self, name: &str) -> Option<&ServiceSettings> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
-/// Routes by address, with what each address stood for before.
+/// Routes by address, with the services that each address was routed to before.
 #[derive(Debug, Default)]
 pub(crate) struct RoutingTable {
     routes: HashMap<SocketAddrV4, TableEntry>,
 }
 
-/// Most services that an address remembers to have stood for.
+/// Maximum number of former services remembered per address.
 const MAX_FORMER_SERVICES: usize = 4;
 
 #[derive(Debug)]
 struct TableEntry {
     route: Route,
-    /// Services that once took new flows of the address and may still hold some, newest first.
+    /// Services that once took new flows of the address and may still have open ones, newest first.
     former: Vec<String>,
-    /// What each part is owed: smooth weighted round robin.
+    /// Current weight of each target for smooth weighted round robin.
     credits: Vec<i64>,
 }
 
 impl RoutingTable {
-    /// The table of a newer configuration; what addresses stood for before is kept.
+    /// Replaces the table with that of a newer configuration; former services of an address are
+    /// kept.
     pub(crate) fn replace(&mut self, configuration: &CarriedConfiguration) {
         let mut previous = std::mem::take(&mut self.routes);
         for route in &configuration.routes {
@@ -132,15 +134,16 @@
         self.routes.get(address).map(|entry| &entry.route)
     }
 
-    /// The services that may hold flows of an address: the route's parts, then former ones.
+    /// The services that may have open flows of an address: the route's targets, then former
+    /// services.
     pub(crate) fn candidate_services(&self, address: &SocketAddrV4) -> impl Iterator<Item = &str> {
         let entry = self.routes.get(address);
-        let parts = entry.into_iter().flat_map(|entry| &entry.route.targets);
+        let targets = entry.into_iter().flat_map(|entry| &entry.route.targets);
         let former = entry.into_iter().flat_map(|entry| &entry.former);
-        parts.map(|part| part.service.as_str()).chain(former.map(String::as_str))
+        targets.map(|target| target.service.as_str()).chain(former.map(String::as_str))
     }
 
-    /// The service that the next new flow of an address goes to.
+    /// Chooses the service for the next new flow of an address.
     pub(crate) fn next_service(&mut self, address: &SocketAddrV4) -> Option<String> {
         self.routes.get_mut(address)?.next_service()
     }
@@ -154,10 +157,10 @@
             if before.route.targets == route.targets {
                 credits = before.credits;
             }
-            let earlier = before.route.targets.into_iter().map(|part| part.service);
-            for service in earlier.chain(before.former) {
-                let is_part = route.targets.iter().any(|part| part.service == service);
-                if !is_part && !former.contains(&service) && former.len() < MAX_FORMER_SERVICES {
+            let previous = before.route.targets.into_iter().map(|target| target.service);
+            for service in previous.chain(before.former) {
+                let is_target = route.targets.iter().any(|target| target.service == service);
+                if !is_target && !former.contains(&service) && former.len() < MAX_FORMER_SERVICES {
                     former.push(service);
                 }
             }
@@ -166,13 +169,17 @@
     }
 
     fn next_service(&mut self) -> Option<String> {
-        let total: i64 = self.route.targets.iter().map(|part| i64::from(part.weight)).sum();
-        for (credit, part) in self.credits.iter_mut().zip(&self.route.targets) {
-            *credit += i64::from(part.weight);
+        let total: i64 = self.route.targets.iter().map(|target| i64::from(target.weight)).sum();
+        for (credit, target) in self.credits.iter_mut().zip(&self.route.targets) {
+            *credit += i64::from(target.weight);
         }
-        let owed =
-            self.credits.iter().enumerate().filter(|(at, _)| self.route.targets[*at].weight > 0);
-        let (best, _) = owed.max_by_key(|(at, credit)| (**credit, std::cmp::Reverse(*at)))?;
+        let eligible = self
+            .credits
+            .iter()
+            .enumerate()
+            .filter(|(index, _)| self.route.targets[*index].weight > 0);
+        let (best, _) =
+            eligible.max_by_key(|(index, credit)| (**credit, std::cmp::Reverse(*index)))?;
         self.credits[best] -= total;
         Some(self.route.targets[best].service.clone())
     }
--- a/crates/carried/src/counters.rs
+++ b/crates/carried/src/counters.rs
@@ -1,115 +1,115 @@
-//! What the cores of carried flows count.
+//! Counters and gauges of the cores of carried flows.
 
 use loftdrift_counters::counter_set;
 
 counter_set! {
     /// Counters of a balancer of carried flows.
     pub struct CarriedBalancerCounters {
-        /// Packets of callers received.
+        /// Packets received from callers.
         packets_received,
         /// Packets dropped because they do not decode.
         packets_malformed,
-        /// Packets dropped because no route names their address.
+        /// Packets dropped because no route has their destination address.
         packets_without_route,
-        /// Packets sent to the agent where their flow lives.
+        /// Packets sent to the agent that owns their flow.
         packets_forwarded,
-        /// Packets of flows that are not remembered.
+        /// Packets of flows that are not in the flow cache.
         packets_located,
-        /// Flows that agents were asked for.
+        /// Lookups started to find the agent that owns a flow.
         lookups_started,
-        /// Packets dropped because too many flows are searched for.
+        /// Packets dropped because too many lookups are in progress.
         lookups_passed_over,
-        /// Flows that an agent held.
+        /// Lookups that found the agent that owns the flow.
         lookups_found,
-        /// Agents asked whether a flow lives there.
+        /// Queries sent to agents asking whether they own a flow.
         lookup_questions,
-        /// Packets given on trial to back ends whose agents may have forgotten their flow.
+        /// Packets delivered on trial to back ends whose agents may have forgotten the flow.
         lookup_trials,
-        /// Flows that nobody holds, whose callers were told.
+        /// Flows that no agent owns and whose callers were reset.
         flows_told_over,
-        /// Flows of which an agent has told the caller that they are over.
+        /// Flows that an agent reported as over after resetting the caller.
         flows_ended,
-        /// Packets that an agent returned because their flow does not live there.
+        /// Packets that an agent returned because it does not own their flow.
         packets_not_held,
-        /// Flows asked for.
+        /// New flows that are offered to agents.
         openings_started,
-        /// Flows opened at a back end.
+        /// New flows placed at a back end.
         openings_placed,
-        /// Flows whose caller went on before an agent's answer was here.
+        /// New flows whose caller continued before the agent's answer arrived.
         openings_overtaken,
-        /// Flows refused because no back end can answer in time.
+        /// New flows refused because no back end can answer in time.
         openings_refused_busy,
-        /// Flows refused because no back end takes new flows.
+        /// New flows refused because no back end takes new flows.
         openings_refused_unavailable,
-        /// Flows refused because no route names their address.
+        /// New flows refused because no route has their destination address.
         openings_refused_no_route,
-        /// Flows given up because no agent has answered.
+        /// New flows given up because no agent answered.
         openings_given_up,
-        /// Flows that wait at an agent until its back end has room.
+        /// New flows queued at an agent until its back end has room.
         openings_queued,
-        /// Opening packets dropped right after a standstill; their copies are taken.
+        /// SYNs dropped in the admission pause after a stall; their retransmissions are accepted.
         openings_fenced,
-        /// Times that the process stood still.
+        /// Times that the process stalled.
         standstills,
-        /// Agents asked to read the shared store for this balancer.
+        /// Delegated store reads: agents asked to read the shared store for this balancer.
         store_errands,
-        /// Comparisons of the shared store's list of nodes with those that live.
+        /// Audits: comparisons of the shared store's list of nodes with the nodes that are alive.
         member_audits,
-        /// Readings of the shared store since nobody told of a confirmation.
+        /// Reads of the shared store made because no peer reported a recent confirmation.
         store_readings,
-        /// Flows left to copies of their opening packets, too late for a reset.
+        /// New flows that failed too late for a reset; the caller retransmits the SYN instead.
         openings_left_to_copies,
         /// Offers made to agents.
         offers_made,
         /// Offers that an agent declined.
         offers_declined,
-        /// Offers that no agent answered in time.
+        /// Offers that were not answered in time.
         offers_unanswered,
-        /// Of those, such as were not held against their agents, this process being late itself.
+        /// Unanswered offers not held against agents, as this process had a high scheduling delay.
         unanswered_while_late,
-        /// Opening packets passed over that may have waited for longer than their callers do.
+        /// SYNs ignored because they may have waited longer than their callers do.
         openings_stale,
-        /// Times that a flow was not offered again, too many offers having been declined.
+        /// Times that a flow was not offered again: the retry budget was spent on declined offers.
         offers_withheld,
-        /// Answers of agents to offers that this balancer has not made to them.
+        /// Answers to offers that this balancer has not made to the agent.
         answers_unexpected,
-        /// Agents that became suspect.
+        /// Times that an agent became suspect.
         suspicions,
-        /// Messages of other nodes that do not decode.
+        /// Messages from other nodes that do not decode.
         messages_malformed,
-        /// Configurations put in force.
+        /// Configurations adopted.
         configurations_adopted,
-        /// Configurations passed over because nothing in them is newer.
+        /// Configurations ignored because they contain nothing newer.
         configurations_passed_over,
     }
     gauges {
         /// The operator's number of the configuration in force.
         configuration_version,
-        /// The highest number that a peer has told of.
+        /// The highest configuration number reported by a peer.
         configuration_newest_heard,
-        /// The store's revision up to which everything written is in force; it falls where the era rises.
+        /// The store revision up to which all writes are in force; it falls when the era rises.
         configuration_revision,
-        /// How often the store has come back from an older copy, as far as is known, and one more.
+        /// Era of the store: 1 plus the number of known restores from an older copy.
         store_era,
         /// Seconds since the configuration in force was adopted.
         configuration_age_seconds,
-        /// Flows that wait for their search to begin.
+        /// Lookups that wait to be started.
         lookups_waiting,
-        /// Searches that may be under way at once.
+        /// Maximum number of concurrent lookups.
         lookup_window,
-        /// Flows remembered.
+        /// Flows in the flow cache.
         flows,
-        /// Agents known.
+        /// Known agents.
         agents,
         /// Agents that are suspect.
         agents_suspect,
-        /// How late this process has served its timers lately.
+        /// Recent scheduling delay of this process: how late its timers fire.
         lateness_milliseconds,
-        /// Milliseconds since the store was last known to hold nothing newer.
+        /// Milliseconds since the last confirmation that the store held nothing newer.
         store_unconfirmed_milliseconds,
-        /// 1 while this balancer is one of those that wait at the store.
+        /// 1 while this balancer is one of those that watch the store, else 0.
         waits_at_store,
-        /// Nodes known.
+        /// Known nodes.
         peers,
     }
 }
@@ -119,31 +119,31 @@
     pub struct CarriedAgentCounters {
         /// Offers of new flows received.
         offers_received,
-        /// Offers passed over right after a standstill.
+        /// Offers ignored during the admission pause after a stall.
         offers_stale,
-        /// Times that the process stood still.
+        /// Times that the process stalled.
         standstills,
         /// New flows passed to the back end.
         offers_taken,
-        /// New flows that had to wait until the back end had room.
+        /// New flows that were queued until the back end had room.
         flows_queued,
-        /// Of those, such as were declined when their callers' tries were over.
+        /// Queued flows that were declined because the caller's attempt had ended.
         flows_expired,
-        /// Offers declined because the back end has enough to do.
+        /// Offers declined because the back end is at its admission limit.
         declined_busy,
-        /// Offers declined because the back end sent the opening packet back.
+        /// Offers declined because the back end returned the SYN.
         declined_returned,
         /// Offers declined because the back end takes no new flows.
         declined_not_accepting,
         /// Offers declined because they are for another service.
         declined_other_service,
-        /// Offers declined because the back end fails what it is asked.
+        /// Offers declined because the circuit breaker is open: the back end fails its requests.
         declined_failing,
         /// Offers declined because the zone is evacuated.
         declined_evacuated,
-        /// Offers declined because the back end is cold and has been given enough.
+        /// Offers declined because the back end is cold and has reached its limit of new flows.
         declined_cold,
-        /// Requests that the back end failed, refused with a slot free, broke off, or left unanswered.
+        /// Requests that the back end failed, refused with a slot free, aborted or did not answer.
         requests_failed,
         /// Times that the circuit breaker opened.
         breaker_openings,
@@ -151,63 +151,63 @@
         packets_delivered,
         /// Packets of the back end passed to callers.
         packets_answered,
-        /// Packets that the back end sent back.
+        /// Packets that the back end returned.
         packets_returned,
-        /// Packets whose flow does not live here.
+        /// Packets whose flow this agent does not own.
         packets_not_held,
-        /// Questions whether a flow lives here.
+        /// Queries received asking whether this agent owns a flow.
         lookups_received,
-        /// Flows that the back end has lost, whose callers were told.
+        /// Flows that the back end has lost and whose callers were reset.
         flows_reset,
         /// Packets dropped because they do not decode.
         packets_malformed,
-        /// Packets of flows that this agent has forgotten, left to the back end to judge.
+        /// Packets of possibly forgotten flows, delivered to the back end to decide.
         packets_tried,
-        /// Messages of other nodes that do not decode.
+        /// Messages from other nodes that do not decode.
         messages_malformed,
-        /// Readings of the shared store that balancers asked for.
+        /// Delegated store reads requested by balancers.
         store_errands,
-        /// Heartbeats of the back end.
+        /// Heartbeats received from the back end.
         backend_reports,
-        /// Heartbeats of the back end that were older than what is known.
+        /// Heartbeats of the back end ignored because a newer one is known.
         backend_reports_outdated,
-        /// Heartbeats of another start than the known one, not believed yet.
+        /// Heartbeats of a different start than the known one, not yet accepted.
         backend_reports_doubted,
-        /// Heartbeats that named another service than the back end's own; nothing came of them.
+        /// Heartbeats ignored because they name another service than the back end's own.
         backend_reports_foreign,
-        /// Words of a back end that could not be read; nothing came of them.
+        /// Messages of a back end ignored because they cannot be parsed.
         backend_reports_unreadable,
-        /// Times that the back end fell silent.
+        /// Times that the back end stopped responding.
         backend_silences,
-        /// Questions whether anybody listens at the back end's port.
+        /// Probes whether a process listens at the back end's port.
         backend_probes,
-        /// Times that the back end's process was found to have ended.
+        /// Times that the back end's process was found to have exited.
         backend_ends,
-        /// Configurations put in force.
+        /// Configurations adopted.
         configurations_adopted,
-        /// Configurations passed over because nothing in them is newer.
+        /// Configurations ignored because they contain nothing newer.
         configurations_passed_over,
     }
     gauges {
         /// The operator's number of the configuration in force.
         configuration_version,
-        /// The highest number that a peer has told of.
+        /// The highest configuration number reported by a peer.
         configuration_newest_heard,
-        /// The store's revision up to which everything written is in force; it falls where the era rises.
+        /// The store revision up to which all writes are in force; it falls when the era rises.
         configuration_revision,
-        /// How often the store has come back from an older copy, as far as is known, and one more.
+        /// Era of the store: 1 plus the number of known restores from an older copy.
         store_era,
         /// Seconds since the configuration in force was adopted.
         configuration_age_seconds,
-        /// Flows remembered.
+        /// Flows in the flow table.
         flows,
-        /// Requests that wait for an answer.
+        /// Requests in progress or waiting at the back end.
         waiting,
-        /// New flows that wait until the back end has room.
+        /// New flows queued until the back end has room.
         in_line,
-        /// Nodes known.
+        /// Known nodes.
         peers,
-        /// Mean time of a request at the back end, in microseconds.
+        /// Mean service time of a request at the back end, in microseconds.
         work_microseconds,
     }
 }
--- a/crates/carried/src/incarnation.rs
+++ b/crates/carried/src/incarnation.rs
@@ -1,56 +1,56 @@
-//! Starts of back ends, and which of two starts is the later.
+//! Identifies starts of back ends, and decides which of two starts is the later one.
 //!
-//! A back end may start again under the id that it had. Where it tells when it was born, id and birth
-//! together name a start; where it does not, the id alone does.
+//! A back end may restart under the same id. If it reports its start time, id and start time
+//! together identify a start; otherwise the id alone does.
 //!
 //! Invariants:
-//! - Of two starts under one id the one that was born later is the later, in whatever order their
-//!   words arrive.
-//! - Births are compared under one id only: back ends of other ids may have told them by clocks that
-//!   differ by seconds.
+//! - Of two starts under one id, the one with the later start time is the later one, in whatever
+//!   order their reports arrive.
+//! - Start times are compared only under one id: back ends with other ids may have taken
+//!   theirs from clocks that differ by seconds.
 
 use std::fmt;
 
-/// Names one start of a back end.
+/// Identifies one start of a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Incarnation {
-    /// The back end's id, which the next start may have again.
+    /// The back end's id; the next start may reuse it.
     pub id: String,
-    /// When it started, in milliseconds of Unix time by its own clock; `None` where it tells none.
+    /// Start time in milliseconds of Unix time by the back end's own clock; `None` if not reported.
     pub started_at_ms: Option<u64>,
 }
 
-/// How one start stands to another.
+/// Relation of one start to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StartOrder {
-    /// They are the same start.
+    /// Both are the same start.
     Same,
-    /// Under the same id, and born later.
+    /// Same id, later start time.
     Later,
-    /// Under the same id, and born earlier.
+    /// Same id, earlier start time.
     Earlier,
-    /// Under the same id, but this word tells no birth where the other start did.
+    /// Same id, but this report has no start time while the other start has one.
     MissingStartTime,
-    /// Under another id.
+    /// Another id.
     OtherId,
 }
 
 impl Incarnation {
-    /// A start that tells no birth.
+    /// A start that reports no start time.
     pub fn without_start_time(id: impl Into<String>) -> Self {
         Incarnation { id: id.into(), started_at_ms: None }
     }
 
-    /// How this start stands to another.
+    /// Compares this start with another.
     pub(crate) fn compare(&self, other: &Incarnation) -> StartOrder {
         if self.id != other.id {
             return StartOrder::OtherId;
         }
         match (self.started_at_ms, other.started_at_ms) {
             (None, Some(_)) => StartOrder::MissingStartTime,
-            (mine, theirs) if mine == theirs => StartOrder::Same,
-            // A back end that tells its birth from now on has started anew.
-            (mine, theirs) if mine > theirs => StartOrder::Later,
+            (own, theirs) if own == theirs => StartOrder::Same,
+            // A back end that did not report its start time before and does now has restarted.
+            (own, theirs) if own > theirs => StartOrder::Later,
             _ => StartOrder::Earlier,
         }
     }
--- a/crates/carried/src/lib.rs
+++ b/crates/carried/src/lib.rs
@@ -1,11 +1,12 @@
 //! Carried flows: flows that end at the back end itself, not at the agent.
 //!
-//! The system carries their packets and cannot change what they say. [`CarriedBalancer`] opens a
-//! flow by offering its first packet to agents until one has placed it, and remembers where flows
-//! live; [`CarriedAgent`] owns the truth about the one back end beside it. Both are cores without
-//! I/O, clock or global random number: they take `now` and inputs and give outputs.
+//! Balancers and agents relay the packets of such a flow and cannot change their contents.
+//! [`CarriedBalancer`] assigns a new flow by offering its SYN to agents until one has placed it,
+//! and remembers which agent owns which flow. [`CarriedAgent`] keeps the authoritative state of the
+//! one back end beside it. Both are cores: state machines without I/O, clock or global random
+//! number generator. They take the current time and inputs and return outputs.
 //!
-//! What a packet looks like is told by a [`SegmentFormat`]; the cores see [`Segment`]s only.
+//! A [`SegmentFormat`] defines the packet layout; the cores see only [`Segment`]s.
 
 mod agent;
 mod backend;
--- a/crates/carried/src/membership.rs
+++ b/crates/carried/src/membership.rs
@@ -1,14 +1,15 @@
-//! Which nodes there are, and when to speak to them.
+//! The nodes that a node knows, and when to send heartbeats to them.
 //!
-//! A node remembers every node it has heard of and goes on sending heartbeats to it, so that one
-//! that comes back with nothing in memory hears from the others within an interval. The interval
-//! grows with the number of peers: a node's heartbeats never take more than a fixed number of bytes
-//! a second. In large systems it is the data path that tells which agents answer.
+//! A node remembers every node that it has heard of and keeps sending heartbeats to it, so that one
+//! that restarts with empty memory hears from the others within an interval. The interval grows
+//! with the number of peers: a node's heartbeats never take more than a fixed number of bytes per
+//! second. In large systems the data path shows which agents respond.
 //!
-//! Each pair of nodes has a phase of its own within the interval. Nodes that start together would else
-//! speak to everybody at one moment and be silent until the next: at 986 nodes for 30 s, in which nobody
-//! hears of a newer configuration. So a node hears balancers at a steady rate at any size: 31 heartbeats
-//! a second times the share of balancers among all nodes.
+//! Each pair of nodes has its own phase within the interval. Otherwise nodes that start together
+//! would send to all peers at one moment and be silent until the next one: with 986 nodes for 30 s,
+//! during which nobody learns of a newer configuration. With phases, a node receives heartbeats of
+//! balancers at a steady rate at any size: 31 heartbeats per second times the share of balancers
+//! among all nodes.
 
 use crate::message::{Heartbeat, NodeRole};
 use crate::rank::stable_hash;
@@ -18,96 +19,99 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Shortest time between two heartbeats to one peer.
+/// Minimum time between two heartbeats to one peer.
 const MIN_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes of heartbeats that a node sends in a second at most; with as many received, and 6 bytes more
-/// in each while agents are young, it stays below the 7 kB that users allow for control.
+/// Maximum bytes of heartbeats that a node sends per second. With as many received, and 6 bytes
+/// more in each while agents are young, it stays below the 7 kB per second that users allow for
+/// control traffic.
 const MAX_HEARTBEAT_BYTES_PER_SECOND: u32 = 3_300;
-/// Bytes of one heartbeat, addresses of the packet included.
+/// Size of one heartbeat, including the packet's addresses.
 const HEARTBEAT_BYTES: u32 = 106;
-/// A peer that was silent for so many intervals is spoken to less often.
+/// A peer that was silent for this many intervals gets heartbeats less often.
 const QUIET_INTERVALS: u32 = 20;
-/// How many times less often.
+/// Factor by which the interval to a silent peer grows.
 const QUIET_FACTOR: u32 = 4;
-/// A peer that was silent for so long is forgotten.
+/// A peer that was silent for this long is forgotten.
 const PEER_TTL: Duration = Duration::from_secs(600);
-/// A peer that was silent for so many intervals is not counted on.
+/// A peer that was silent for this many intervals is not considered alive.
 pub(crate) const ALIVE_INTERVALS: u32 = 4;
-/// Most peers that are remembered.
+/// Maximum number of peers remembered.
 const MAX_PEERS: usize = 8_192;
-/// News goes to so many peers at once, spread evenly over all and others each time: 1,000 nodes have
-/// heard it in two rounds, and whoever all rounds have missed hears it with regular heartbeats.
+/// Number of peers that news is sent to at once, spread evenly over all and different each time.
+/// Two rounds reach 1,000 nodes; nodes that all rounds have missed get the news with regular
+/// heartbeats.
 const NEWS_FAN_OUT: usize = 32;
 
-/// What a moment may miss its own phase by, as a share of the interval: the rounding of times.
+/// Tolerance for rounding of times when checking whether a phase has just passed, as a share of the
+/// interval.
 const MIN_PHASE_STEP: f64 = 1e-3;
 
-/// A node, as it describes itself.
+/// A node's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Node {
-    /// Where other nodes reach it.
+    /// The address at which other nodes reach it.
     pub address: SocketAddrV4,
-    /// What it does.
+    /// Whether it is a balancer or an agent.
     pub role: NodeRole,
-    /// Its zone.
+    /// The availability zone of its machine.
     pub zone: String,
-    /// Its region.
+    /// The region of its zone.
     pub region: String,
-    /// Rises with each of its starts.
+    /// Increases with each of its starts.
     pub incarnation: u64,
-    /// Megabits a second that its machine's link carries.
+    /// Bandwidth of its machine's link in megabits per second.
     pub link_mbps: u32,
 }
 
-/// The order in which balancers wait at the store: an answer with a large configuration holds up
-/// a slow link's packets.
+/// Sort key for choosing the balancers that watch the store. Fast links come first: an answer with
+/// a large configuration delays the packets of a slow link.
 fn watcher_order(link_mbps: u32, address: SocketAddrV4) -> (Reverse<u32>, SocketAddrV4) {
     (Reverse(link_mbps), address)
 }
 
-/// What is known of another node.
+/// State of another node, as known here.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// What it does.
+    /// Whether it is a balancer or an agent.
     pub role: NodeRole,
-    /// Its incarnation; 0 before it was heard.
+    /// Its incarnation; 0 before its first heartbeat.
     pub incarnation: u64,
-    /// Version of its configuration.
+    /// Version of the configuration in force there.
     pub configuration: Version,
-    /// When it was heard last.
+    /// When its last heartbeat was received.
     pub last_heartbeat_at: Option<Duration>,
-    /// It is in this node's zone, as it said itself.
+    /// Whether it has reported this node's zone.
     pub is_same_zone: bool,
-    /// Megabits a second of its machine's link, as it said itself.
+    /// Bandwidth of its machine's link in megabits per second, as reported.
     pub link_mbps: u32,
     known_since: Duration,
     next_heartbeat: Duration,
 }
 
 impl Peer {
-    /// Whether the node has been known for so long.
-    pub(crate) fn is_known_for(&self, now: Duration, lasts: Duration) -> bool {
-        now.saturating_sub(self.known_since) >= lasts
+    /// Whether the node has been known for at least this duration.
+    pub(crate) fn is_known_for(&self, now: Duration, duration: Duration) -> bool {
+        now.saturating_sub(self.known_since) >= duration
     }
 }
 
-/// Where a balancer stands among the balancers that it hears, itself included.
+/// Rank of a balancer among the balancers that it hears from, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BalancerRanks {
-    /// Balancers of its zone.
+    /// Number of balancers in its zone.
     pub(crate) in_zone: usize,
-    /// Its place among those: the fastest links first, then by address.
+    /// Its rank among those: fastest links first, then by address.
     pub(crate) rank_in_zone: usize,
-    /// Balancers.
+    /// Number of balancers.
     pub(crate) balancers: usize,
-    /// Its place among those.
+    /// Its rank among those.
     pub(crate) rank: usize,
 }
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct HeartbeatOutcome {
-    /// The node was not known, or has started anew.
+    /// Whether the node was unknown or has restarted.
     pub(crate) is_new: bool,
 }
 
@@ -116,24 +120,24 @@
 pub struct Membership {
     me: Node,
     peers: BTreeMap<SocketAddrV4, Peer>,
-    /// When each peer is due, the earliest first.
+    /// When the next heartbeat to each peer is due, earliest first.
     due: BTreeSet<(Duration, SocketAddrV4)>,
-    /// How often news was told.
+    /// How often news was sent.
     news_rounds: u64,
 }
 
 impl Membership {
-    /// A node that knows nobody.
+    /// Creates the membership of a node that knows no other.
     pub fn new(me: Node) -> Self {
         Membership { me, peers: BTreeMap::new(), due: BTreeSet::new(), news_rounds: 0 }
     }
 
-    /// The node itself.
+    /// The node that this membership belongs to.
     pub fn me(&self) -> &Node {
         &self.me
     }
 
-    /// Learns of a node by hearsay; `true` when it was not known.
+    /// Adds a node reported by others; returns `true` if it was unknown.
     pub fn learn(&mut self, now: Duration, address: SocketAddrV4, role: NodeRole) -> bool {
         if address == self.me.address || !self.exchanges_heartbeats_with(role) {
             return false;
@@ -156,7 +160,7 @@
         true
     }
 
-    /// Agents have nothing to say to each other.
+    /// Agents do not exchange heartbeats with each other.
     fn exchanges_heartbeats_with(&self, role: NodeRole) -> bool {
         role == NodeRole::Balancer || self.me.role == NodeRole::Balancer
     }
@@ -185,7 +189,7 @@
         HeartbeatOutcome { is_new }
     }
 
-    /// Time between two heartbeats to one peer.
+    /// Current time between two heartbeats to one peer.
     pub fn interval(&self) -> Duration {
         let bytes = self.peers.len() as u32 * HEARTBEAT_BYTES;
         let bounded = Duration::from_secs(1) * bytes / MAX_HEARTBEAT_BYTES_PER_SECOND;
@@ -199,7 +203,7 @@
         self.due.insert((next, address));
     }
 
-    /// The peers to send a heartbeat to now, each with whether a reply is wanted.
+    /// Returns the peers to send a heartbeat to now, each with whether a reply is wanted.
     pub(crate) fn take_due(&mut self, now: Duration) -> Vec<(SocketAddrV4, bool)> {
         let interval = self.interval();
         let mut taken = Vec::new();
@@ -219,84 +223,84 @@
             }
             taken.push((address, peer.last_heartbeat_at.is_none()));
             let is_quiet = silence > interval * QUIET_INTERVALS;
-            let regular = interval * if is_quiet { QUIET_FACTOR } else { 1 };
-            self.reschedule(address, next_in_phase(now, regular, self.phase(&address)));
+            let next_interval = interval * if is_quiet { QUIET_FACTOR } else { 1 };
+            self.reschedule(address, next_in_phase(now, next_interval, self.phase(&address)));
         }
         taken
     }
 
-    /// Where in each interval this node speaks to a peer, from 0 to 1.
+    /// Phase of the heartbeats to a peer within each interval, from 0 to 1.
     fn phase(&self, peer: &SocketAddrV4) -> f64 {
         stable_hash(&self.me.address, peer, 0) as f64 / u64::MAX as f64
     }
 
-    /// Has a heartbeat with news sent to a bounded number of peers at once, to others each time.
+    /// Schedules an immediate heartbeat with news to a bounded number of peers, different ones each
+    /// time.
     pub fn spread_news(&mut self, now: Duration) {
         self.news_rounds += 1;
         let count = self.peers.len();
-        let most = NEWS_FAN_OUT.min(count);
+        let fan_out = NEWS_FAN_OUT.min(count);
         let step = (count / NEWS_FAN_OUT).max(1);
         let first = stable_hash(&self.me.address, &self.me.address, self.news_rounds) as usize;
-        let round = self.peers.keys().cycle().skip(first % count.max(1));
-        let chosen: Vec<SocketAddrV4> = round.step_by(step).take(most).copied().collect();
+        let rotated = self.peers.keys().cycle().skip(first % count.max(1));
+        let chosen: Vec<SocketAddrV4> = rotated.step_by(step).take(fan_out).copied().collect();
         for address in chosen {
             self.reschedule(address, now);
         }
     }
 
-    /// When [`Membership::take_due`] has something next.
+    /// When [`Membership::take_due`] next returns a peer.
     pub(crate) fn next_due(&self) -> Option<Duration> {
         self.due.first().map(|(at, _)| *at)
     }
 
-    /// Whether a node is known.
     pub(crate) fn knows(&self, address: &SocketAddrV4) -> bool {
         self.peers.contains_key(address)
     }
 
-    /// When a node was heard last, or heard of first.
+    /// When a node's last heartbeat was received, or when the node became known if there was none.
     pub(crate) fn last_heard_at(&self, address: &SocketAddrV4) -> Option<Duration> {
         self.peers.get(address).map(|peer| peer.last_heartbeat_at.unwrap_or(peer.known_since))
     }
 
-    /// How many nodes are known.
+    /// Number of known nodes.
     pub(crate) fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// Where this node stands among the balancers heard lately.
+    /// Rank of this node among the balancers that were heard from recently.
     pub(crate) fn balancer_ranks(&self, now: Duration) -> BalancerRanks {
-        let patience = self.interval() * ALIVE_INTERVALS;
+        let alive_timeout = self.interval() * ALIVE_INTERVALS;
         let mine = watcher_order(self.me.link_mbps, self.me.address);
-        let mut places = BalancerRanks { in_zone: 1, rank_in_zone: 0, balancers: 1, rank: 0 };
+        let mut ranks = BalancerRanks { in_zone: 1, rank_in_zone: 0, balancers: 1, rank: 0 };
         for (address, peer) in &self.peers {
             let is_alive =
-                peer.last_heartbeat_at.is_some_and(|at| now.saturating_sub(at) <= patience);
+                peer.last_heartbeat_at.is_some_and(|at| now.saturating_sub(at) <= alive_timeout);
             if peer.role != NodeRole::Balancer || !is_alive {
                 continue;
             }
-            let is_before = usize::from(watcher_order(peer.link_mbps, *address) < mine);
-            places.balancers += 1;
-            places.rank += is_before;
+            let ranks_before = usize::from(watcher_order(peer.link_mbps, *address) < mine);
+            ranks.balancers += 1;
+            ranks.rank += ranks_before;
             if peer.is_same_zone {
-                places.in_zone += 1;
-                places.rank_in_zone += is_before;
+                ranks.in_zone += 1;
+                ranks.rank_in_zone += ranks_before;
             }
         }
-        places
+        ranks
     }
 
-    /// The nodes known, with their addresses.
+    /// The known nodes with their addresses.
     pub fn peers(&self) -> impl Iterator<Item = (&SocketAddrV4, &Peer)> {
         self.peers.iter()
     }
 }
 
-/// The next moment after `now` that stands at this phase of an interval.
+/// The next time after `now` that has this phase within an interval.
 fn next_in_phase(now: Duration, interval: Duration, phase: f64) -> Duration {
     let passed = (now.as_secs_f64() / interval.as_secs_f64()).fract();
     let left = (phase - passed).rem_euclid(1.0);
-    // The moment that has just come is not the next one.
+    // A phase that has just passed is due one interval later.
     let left = if left < MIN_PHASE_STEP { left + 1.0 } else { left };
     now + interval.mul_f64(left)
 }
--- a/crates/carried/src/message.rs
+++ b/crates/carried/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes say to each other, in `bincode`, a message a datagram.
+//! Messages between nodes, encoded with `bincode`, one message per datagram.
 
 use crate::configuration::CarriedConfiguration;
 use crate::store_status::Confirmation;
@@ -6,37 +6,37 @@
 use bincode::{Decode, Encode};
 use std::net::SocketAddrV4;
 
-/// Largest message: a caller's packet with what stands before it.
+/// Maximum size of a message: a caller's packet plus the fields in front of it.
 pub const MAX_MESSAGE_BYTES: usize = 2_048;
 
-/// What a node does.
+/// The role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Encode, Decode)]
 pub enum NodeRole {
-    /// Takes callers' packets and sends them on to agents.
+    /// Receives callers' packets and forwards them to agents.
     Balancer,
-    /// Stands beside one back end.
+    /// Runs beside one back end.
     Agent,
 }
 
-/// How much an agent may take beyond its free slots.
+/// How many requests an agent may admit beyond its free slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Admission {
-    /// Only when a slot is free.
+    /// Only if a slot is free.
     FreeSlot,
-    /// When the request can still be answered within so many milliseconds.
+    /// If the request can still be answered within this many milliseconds.
     Within(u32),
-    /// As `Within`, though the back end fails: no other one is there.
+    /// Like `Within`, although the back end fails its requests: there is no other one.
     Failing(u32),
-    /// Only when slots are to spare: the request is late already.
+    /// Only if slots are to spare, because the request is already late.
     Spare,
-    /// When there is room, or when the request can still be answered in time; until then it waits in
-    /// the agent's line.
+    /// If there is room or the request can still be answered in time; otherwise it waits in the
+    /// agent's wait queue.
     WaitQueue {
-        /// In time is within so many milliseconds.
+        /// Milliseconds within which an answer is in time.
         within_ms: u16,
-        /// The caller's try lasts for so many milliseconds more.
+        /// Milliseconds until the caller's attempt ends.
         attempt_remaining_ms: u16,
-        /// How urgent the route's requests are; 0 is the most urgent.
+        /// Priority of the route's requests; 0 is the most urgent.
         priority: u8,
     },
 }
@@ -44,91 +44,91 @@
 /// Whether the back end beside an agent takes new flows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub enum BackendCondition {
-    /// Nothing is known of it yet.
+    /// Nothing has been reported yet.
     #[default]
     Unknown,
     /// It takes new flows.
     Accepting,
-    /// It answers nothing just now.
+    /// It currently does not respond.
     Silent,
-    /// It leaves, has left, or its agent stops.
+    /// It is leaving or has left, or its agent is stopping.
     Leaving,
-    /// It fails what it is asked and rests.
+    /// It fails its requests and the circuit breaker is open.
     Failing,
-    /// Its process has ended: it holds no flow.
+    /// Its process has exited: it has no open flows.
     Ended,
-    /// It would take new flows, but its zone is evacuated.
+    /// It would accept new flows, but its zone is evacuated.
     Evacuated,
 }
 
-/// An agent's load, as only it knows it.
+/// An agent's load report; only the agent itself knows these figures.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct LoadReport {
     /// Name of the back end's service.
     pub service: String,
-    /// Whether new flows are taken.
+    /// Whether new flows are accepted.
     pub condition: BackendCondition,
-    /// Requests that the back end works on at once.
+    /// Requests that the back end processes concurrently.
     pub capacity: u16,
-    /// Requests that wait for an answer, those in work included.
+    /// Requests without an answer yet, including those in progress.
     pub waiting: u16,
-    /// New flows that wait until the back end has room.
+    /// New flows queued until the back end has room.
     pub queued: u16,
-    /// Mean time from a request to its answer when slots were free, in microseconds; 0 before any
-    /// was measured.
+    /// Mean time from a request to its answer while slots were free, in microseconds; 0 before the
+    /// first measurement.
     pub service_time_us: u32,
-    /// Milliseconds since the last measurement of it.
+    /// Milliseconds since its last measurement.
     pub measured_ms_ago: u32,
-    /// The back end is still slow from its start.
+    /// Whether the back end is still slow after its start.
     pub is_cold: bool,
-    /// New flows that it may still be given just now, where it is cold and a limit is told.
+    /// New flows that a cold back end may still be given at this time; `None` without a limit.
     pub cold_allowance: Option<u16>,
-    /// Milliseconds since the back end's start, if this process of the agent has run ever since and
-    /// is young.
+    /// Milliseconds since the back end's start, if this agent process has run since then and is
+    /// young.
     pub backend_age_ms: Option<u32>,
-    /// Which flows of its back end the agent knows.
+    /// Whether the agent knows all flows of its back end.
     pub memory: FlowKnowledge,
-    /// Milliseconds since the agent's process started; `None` once it has run for as long as a flow
-    /// lasts. By it balancers tell whether all processes started together.
+    /// Milliseconds since the agent process started; `None` once it has run for as long as a flow
+    /// lasts. Balancers use it to detect that all processes started together.
     pub uptime_ms: Option<u32>,
 }
 
-/// Which flows of its back end an agent knows.
+/// Whether an agent knows all flows of its back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub enum FlowKnowledge {
-    /// All: the back end's very first heartbeat came to this process, or the process has run for as
-    /// long as a flow lasts.
+    /// It knows all: it received the back end's very first heartbeat, or has run for as long as a
+    /// flow lasts.
     #[default]
     Complete,
-    /// All, if the back end started beside this process, as it seems to the agent alone. Where the
-    /// same is seen beside nearly every agent, everything has lost power.
+    /// It knows all if the back end started while this process was running, which is how it looks
+    /// to this agent alone. If nearly every agent sees the same, the whole system has lost power.
     PresumedComplete,
-    /// An earlier process of the agent may have placed flows that this one does not know. Asked for
-    /// one of those it is unsure, so it need not be asked.
+    /// An earlier process of the agent may have placed flows that this one does not know. It would
+    /// answer `Unknown` for those, so it need not be asked.
     Partial,
 }
 
-/// Why an agent does not take a flow.
+/// Why an agent declines a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum DeclineReason {
-    /// The back end has as much to do as the offer's admission allows.
+    /// The back end is at the limit of the offer's admission.
     Busy,
-    /// The back end sent the opening packet back.
+    /// The back end returned the SYN.
     Returned,
-    /// The back end leaves, is silent, or is not known yet.
+    /// The back end is leaving, does not respond, or has not reported yet.
     NotAccepting,
-    /// The back end is of another service.
+    /// The back end belongs to another service.
     OtherService,
-    /// The back end fails what it is asked.
+    /// The back end fails its requests.
     Failing,
     /// The back end's zone is evacuated.
     Evacuated,
-    /// The back end is cold and has been given as many new flows as it bears.
+    /// The back end is cold and has reached its limit of new flows.
     Cold,
 }
 
 impl DeclineReason {
-    /// Whether the agent may have room in a moment.
+    /// Whether the agent may have room again within a short time.
     pub(crate) fn is_transient(self) -> bool {
         matches!(self, DeclineReason::Busy | DeclineReason::Returned | DeclineReason::Cold)
     }
@@ -147,163 +147,165 @@
     }
 }
 
-/// A flow, as the packets of its caller name it.
+/// A flow's identity, as in the packets of its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FlowName {
     /// The flow's caller.
     pub caller: SocketAddrV4,
-    /// The address that the caller dialled.
+    /// The address that the caller connected to.
     pub service: SocketAddrV4,
 }
 
-/// The question whether a flow lives at an agent.
+/// A query whether an agent owns a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FlowQuery {
-    /// The flow.
+    /// The flow in question.
     pub flow: FlowName,
-    /// What its caller's last packet acknowledges.
+    /// Acknowledgement number of its caller's last packet, if any.
     pub acknowledged: Option<u32>,
 }
 
 /// What an agent knows of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum FlowStatus {
-    /// It lives here.
+    /// The agent owns the flow.
     Owned,
-    /// It does not live here: the agent knows every flow of its back end.
+    /// The agent does not own the flow, and it knows every flow of its back end.
     Absent,
-    /// The agent does not know it; an earlier process of the agent may have placed it.
+    /// The agent does not know the flow; an earlier process of the agent may have placed it.
     Unknown,
-    /// The agent has not heard of its back end yet and will know soon.
+    /// The agent has not received a report of its back end yet and will know soon.
     NotReady,
 }
 
-/// An agent's word about a flow.
+/// An agent's answer about a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct FlowAnswer {
-    /// The flow.
+    /// The flow in question.
     pub flow: FlowName,
     /// What the agent knows of it.
     pub status: FlowStatus,
 }
 
-/// Most flows that one message asks for or answers about; it stays below [`MAX_MESSAGE_BYTES`].
+/// Maximum number of flows in one lookup or reply; keeps it below [`MAX_MESSAGE_BYTES`].
 pub const MAX_FLOWS_PER_MESSAGE: usize = 64;
 
-/// What nodes tell each other without being asked.
+/// What nodes send each other regularly.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    /// What the sender does.
+    /// Whether the sender is a balancer or an agent.
     pub role: NodeRole,
     /// The sender's zone.
     pub zone: String,
     /// The sender's region.
     pub region: String,
-    /// Rises with each start of the sender.
+    /// Increases with each start of the sender.
     pub incarnation: u64,
-    /// Megabits a second of the sender's link.
+    /// Bandwidth of the sender's link in megabits per second.
     pub link_mbps: u32,
     /// Version of the configuration in force at the sender.
     pub configuration: Version,
-    /// Digest of it.
+    /// Digest of that configuration.
     pub digest: u64,
-    /// The shared store's last word known to the sender that nothing newer was there.
+    /// The latest confirmation known to the sender that the shared store held nothing newer.
     pub confirmation: Option<Confirmation>,
-    /// How often the shared store has come back, as far as the sender knows.
+    /// How often the shared store came back after an outage, as far as the sender knows.
     pub store_restores: u32,
-    /// An agent's load.
+    /// Load of the sender, if it is an agent.
     pub report: Option<LoadReport>,
-    /// The sender does not know the receiver well and wants a heartbeat in return.
+    /// The sender has no recent heartbeat of the receiver and wants one in return.
     pub wants_reply: bool,
 }
 
 /// A message between nodes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
-    /// Balancer to agent: take this flow, whose opening packet is `datagram`.
+    /// Balancer to agent: offers a new flow, whose SYN is `datagram`.
     Offer {
-        /// The balancer's number for the offer.
+        /// Number that the balancer gave to the offer.
         number: u64,
         /// The service that the flow is for.
         service: String,
-        /// How much the agent may take.
+        /// How many requests the agent may admit beyond its free slots.
         admission: Admission,
-        /// The opening packet.
+        /// The SYN.
         datagram: Vec<u8>,
     },
-    /// Agent to balancer: the back end has answered the opening packet.
+    /// Agent to balancer: the back end has answered the SYN.
     Placed {
         /// The offer's number.
         number: u64,
         /// The agent's load.
         report: LoadReport,
     },
-    /// Agent to balancer: the flow waits until the back end has room; `Placed` or `Declined` follows.
+    /// Agent to balancer: the flow is queued until the back end has room; `Placed` or `Declined`
+    /// follows.
     Queued {
         /// The offer's number.
         number: u64,
         /// The agent's load.
         report: LoadReport,
     },
-    /// Agent to balancer: not taken, and nothing of it has run.
+    /// Agent to balancer: the flow was not accepted, and no part of it was processed.
     Declined {
         /// The offer's number.
         number: u64,
-        /// Why.
+        /// Why it was declined.
         reason: DeclineReason,
         /// The agent's load.
         report: LoadReport,
     },
-    /// Balancer to agent: a packet of a flow that lives there.
+    /// Balancer to agent: a packet of a flow that the agent owns.
     Forward {
         /// The packet.
         datagram: Vec<u8>,
     },
-    /// Balancer to agent: do these flows live there?
+    /// Balancer to agent: asks whether the agent owns these flows.
     Lookup {
         /// At most [`MAX_FLOWS_PER_MESSAGE`].
         queries: Vec<FlowQuery>,
     },
-    /// Agent to balancer: what it knows of flows that it was asked for, or that were tried.
+    /// Agent to balancer: what it knows of flows it was asked about or got a `TryForward` for.
     LookupReply {
-        /// Milliseconds since the agent's process started.
+        /// Milliseconds since the agent process started.
         uptime_ms: u32,
-        /// A word for each.
+        /// One answer per flow.
         answers: Vec<FlowAnswer>,
     },
     /// Balancer to agent: a packet of a flow that an earlier process of the agent may have placed;
-    /// the back end is to tell.
+    /// the back end decides whether the flow is its own.
     TryForward {
         /// The packet.
         datagram: Vec<u8>,
     },
-    /// Agent to balancer: the flow lived here and is over; its caller has been told.
+    /// Agent to balancer: the agent owned the flow, which is over; its caller has been reset.
     Ended {
         /// The flow.
         flow: FlowName,
     },
-    /// Agent to balancer: the flow of a forwarded packet does not live here.
+    /// Agent to balancer: the agent does not own the flow of a forwarded packet.
     NotOwned {
         /// The packet, as its sender wrote it.
         datagram: Vec<u8>,
     },
-    /// Any node to any other.
+    /// Any node to any other: the regular heartbeat.
     Heartbeat(Heartbeat),
-    /// Balancer to agent: the shared store refuses the balancer; read the configuration there and
-    /// tell.
+    /// Balancer to agent: requests a delegated store read. The shared store refuses the balancer,
+    /// so the agent reads the configuration and reports it.
     ReadStore,
-    /// Balancer to any node: the shared store's list does not name it; it is to enter itself again.
+    /// Balancer to any node: the shared store's list lacks the receiver, which should add itself
+    /// again.
     NotListed,
 }
 
 impl Message {
-    /// The datagram that carries the message.
+    /// Encodes the message as a datagram.
     pub fn encode(&self) -> Vec<u8> {
-        // Plain data in a growing buffer always encodes.
+        // Encoding plain data into a growing buffer cannot fail.
         bincode::encode_to_vec(self, bincode::config::standard()).unwrap_or_default()
     }
 
-    /// Reads a datagram; `None` when it is no message, or one with bytes left over.
+    /// Decodes a datagram; `None` if it is not a message or has trailing bytes.
     pub fn decode(datagram: &[u8]) -> Option<Self> {
         let limited = bincode::config::standard().with_limit::<MAX_MESSAGE_BYTES>();
         let (message, used) = bincode::decode_from_slice(datagram, limited).ok()?;
@@ -311,25 +313,25 @@
     }
 }
 
-/// Largest snapshot that is read, in bytes.
+/// Maximum size of a snapshot that is decoded.
 const MAX_SNAPSHOT_BYTES: usize = 4 * 1024 * 1024;
 
-/// What a node gives to whoever asks: all that a node which starts with nothing needs.
+/// All that a node needs which starts without any state; served by every node on request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Snapshot {
-    /// The newest configuration known.
+    /// The newest known configuration.
     pub configuration: Option<CarriedConfiguration>,
-    /// Nodes known, with what they do.
+    /// The known nodes with their roles.
     pub members: Vec<(SocketAddrV4, NodeRole)>,
 }
 
 impl Snapshot {
-    /// The snapshot's bytes.
+    /// Encodes the snapshot.
     pub fn encode(&self) -> Vec<u8> {
         bincode::encode_to_vec(self, bincode::config::standard()).unwrap_or_default()
     }
 
-    /// Reads a snapshot's bytes.
+    /// Decodes a snapshot; `None` if the bytes are not one or some are left over.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let limited = bincode::config::standard().with_limit::<MAX_SNAPSHOT_BYTES>();
         let (snapshot, used) = bincode::decode_from_slice(bytes, limited).ok()?;
--- a/crates/carried/src/plain_format.rs
+++ b/crates/carried/src/plain_format.rs
@@ -1,13 +1,13 @@
-//! A packet format of loftdrift's own, for simulation, tests and embedders that have none.
+//! loftdrift's own packet format, for simulation, tests and embedders that have none.
 //!
-//! A packet is a `bincode` head followed by its data.
+//! A packet is a byte that marks returned packets, a `bincode` header and the payload.
 
 use crate::segment::{AnswerOutcome, Segment, SegmentError, SegmentFormat};
 use bincode::{Decode, Encode};
 use std::net::SocketAddrV4;
 
 #[derive(Encode, Decode)]
-struct Head {
+struct Header {
     source: SocketAddrV4,
     destination: SocketAddrV4,
     sequence: u32,
@@ -19,22 +19,22 @@
     payload_bytes: u16,
 }
 
-/// Where the mark of a packet that a back end sent back stands.
-const RETURNED_AT: usize = 0;
+/// Offset of the byte that marks a packet returned by a back end.
+const RETURNED_FLAG_OFFSET: usize = 0;
 
-/// The format.
+/// The format's implementation of [`SegmentFormat`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlainFormat;
 
 impl PlainFormat {
     /// The answer of a back end that failed.
     pub const FAILED: &'static [u8] = b"failed";
-    /// The answer of a back end that did not take the request.
+    /// The answer of a back end that refused the request.
     pub const REFUSED: &'static [u8] = b"refused";
 
-    /// The packet that a segment describes, with its data.
+    /// Encodes a segment with its payload.
     pub fn write(segment: &Segment, data: &[u8]) -> Vec<u8> {
-        let head = Head {
+        let header = Header {
             source: segment.source,
             destination: segment.destination,
             sequence: segment.sequence,
@@ -46,16 +46,16 @@
             payload_bytes: data.len() as u16,
         };
         let mut packet = vec![u8::from(segment.returned)];
-        let head = bincode::encode_to_vec(head, bincode::config::standard());
-        packet.extend(head.unwrap_or_default());
+        let header = bincode::encode_to_vec(header, bincode::config::standard());
+        packet.extend(header.unwrap_or_default());
         packet.extend_from_slice(data);
         packet
     }
 
-    /// A packet's data.
+    /// The payload of a packet.
     pub fn data(datagram: &[u8]) -> &[u8] {
-        let rest = datagram.get(RETURNED_AT + 1..).unwrap_or_default();
-        let decoded = bincode::decode_from_slice::<Head, _>(rest, bincode::config::standard());
+        let rest = datagram.get(RETURNED_FLAG_OFFSET + 1..).unwrap_or_default();
+        let decoded = bincode::decode_from_slice::<Header, _>(rest, bincode::config::standard());
         decoded.map_or(&[], |(_, used)| &rest[used..])
     }
 }
@@ -63,24 +63,24 @@
 impl SegmentFormat for PlainFormat {
     fn parse(&self, datagram: &[u8]) -> Result<Segment, SegmentError> {
         let (returned, rest) = datagram.split_first().ok_or(SegmentError::Truncated)?;
-        let decoded = bincode::decode_from_slice::<Head, _>(rest, bincode::config::standard());
-        let (head, used) = decoded.map_err(|_| SegmentError::Truncated)?;
-        match (rest.len() - used).cmp(&usize::from(head.payload_bytes)) {
+        let decoded = bincode::decode_from_slice::<Header, _>(rest, bincode::config::standard());
+        let (header, used) = decoded.map_err(|_| SegmentError::Truncated)?;
+        match (rest.len() - used).cmp(&usize::from(header.payload_bytes)) {
             std::cmp::Ordering::Less => return Err(SegmentError::Truncated),
             std::cmp::Ordering::Greater => return Err(SegmentError::Oversized),
             std::cmp::Ordering::Equal => {}
         }
         Ok(Segment {
-            source: head.source,
-            destination: head.destination,
-            sequence: head.sequence,
-            acknowledgement: head.acknowledgement,
-            syn: head.syn,
-            ack: head.ack,
-            fin: head.fin,
-            rst: head.rst,
+            source: header.source,
+            destination: header.destination,
+            sequence: header.sequence,
+            acknowledgement: header.acknowledgement,
+            syn: header.syn,
+            ack: header.ack,
+            fin: header.fin,
+            rst: header.rst,
             returned: *returned != 0,
-            payload_bytes: head.payload_bytes,
+            payload_bytes: header.payload_bytes,
         })
     }
 
@@ -103,8 +103,8 @@
     }
 
     fn clear_returned(&self, datagram: &mut [u8]) {
-        if let Some(mark) = datagram.get_mut(RETURNED_AT) {
-            *mark = 0;
+        if let Some(flag) = datagram.get_mut(RETURNED_FLAG_OFFSET) {
+            *flag = 0;
         }
     }
 }
--- a/crates/carried/src/policy.rs
+++ b/crates/carried/src/policy.rs
@@ -1,55 +1,55 @@
-//! Mechanisms that can be switched off one by one, to measure what each is worth.
+//! Mechanisms that can be switched off one by one, to measure the effect of each.
 //!
-//! All are on unless a setting says otherwise. None is needed for a packet to reach its back end;
-//! what a mechanism keeps beyond worth is told in the pages.
+//! All are on unless a setting says otherwise. Packets reach their back ends without any of them;
+//! the project's documentation lists what each mechanism guarantees beyond performance.
 
 use thiserror::Error;
 
 /// A mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// A way to another zone is worth waiting.
+    /// Agents in the balancer's zone are preferred, up to a limited difference in waiting time.
     OwnZone,
-    /// An agent without a free slot is asked for a place in its queue.
+    /// When no agent has a free slot, agents are asked again for a place in their queues.
     SecondRound,
-    /// Agents that are suspect or whose back ends fail are asked where no other is left.
+    /// If no other agent is left, agents that are suspect or whose back ends fail get offers.
     LastResort,
-    /// What is known of an agent drifts to what is typical of its service.
+    /// With age, a balancer's estimates of an agent move towards the mean of its service.
     EstimateDecay,
-    /// A few agents are compared, not all.
+    /// A choice compares a few sampled agents instead of all.
     SampledChoice,
-    /// A back end that is cold counts as slower.
+    /// Choices count cold back ends as slower.
     WeighCold,
-    /// A back end whose requests take longer counts as slower.
+    /// Choices count back ends with longer requests as slower.
     WeighServiceTime,
-    /// A back end that fails what it is asked rests.
+    /// A circuit breaker stops new flows to a back end that fails its requests.
     Breaker,
-    /// A queue takes what can be answered in time.
+    /// An agent's queue admits only what can be answered in time.
     QueueLimit,
-    /// Flows that nobody has room for wait at an agent until it has.
+    /// Flows that no back end has room for wait in an agent's wait queue.
     WaitQueue,
-    /// A balancer that stood still takes no new flow before it knows better.
+    /// After a stall a balancer accepts no new flow until its view is up to date again.
     AdmissionPause,
-    /// Agents read the shared store for balancers that it refuses.
+    /// Agents read the shared store for balancers whose reads it refuses.
     DelegatedStoreReads,
-    /// Callers are told that nobody holds their flow.
+    /// Flows that no agent owns are reset.
     ResetUnowned,
-    /// Agents find out whether their back end has ended.
+    /// Agents probe whether their back end's process has ended.
     Probes,
-    /// A few balancers of each zone wait at the shared store, not all.
+    /// A few balancers of each zone watch the shared store instead of all.
     FewWatchers,
-    /// A balancer that runs late holds silence against nobody.
+    /// A balancer with a high scheduling delay does not hold missing answers against agents.
     SchedulingDelay,
-    /// Repeated offers are bounded by the flows placed.
+    /// A retry budget bounds repeated offers by the number of flows placed.
     OfferBudget,
-    /// Searches for forgotten flows take a bounded share of the process.
+    /// Lookups of forgotten flows take a bounded share of the process's time.
     RepairBudget,
-    /// Where everything has lost power, flows of before are over.
+    /// After a power loss of the whole system, flows from before count as over.
     PowerLoss,
 }
 
 impl Policy {
-    /// Every mechanism.
+    /// All mechanisms, in the order of their bits.
     pub const ALL: [Policy; 19] = [
         Policy::OwnZone,
         Policy::SecondRound,
@@ -102,7 +102,7 @@
     }
 }
 
-/// A name that no mechanism has.
+/// The error for a name that no mechanism has.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("no mechanism is called `{0}`")]
 pub struct UnknownPolicy(String);
@@ -116,15 +116,15 @@
     }
 }
 
-/// Which mechanisms are on.
+/// The set of mechanisms that are on.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Policies {
-    /// A bit for each one that is off.
+    /// One bit per mechanism that is off.
     off: u32,
 }
 
 impl Policies {
-    /// The same with one of them off.
+    /// Returns the set with one mechanism switched off.
     pub fn without(self, policy: Policy) -> Self {
         Policies { off: self.off | policy.bit() }
     }
--- a/crates/carried/src/rank.rs
+++ b/crates/carried/src/rank.rs
@@ -1,13 +1,13 @@
-//! The order in which the agents of a service come for a flow.
+//! Rendezvous hashing: the order in which the agents of a service are asked for a flow.
 //!
-//! Every balancer works out the same order from the flow's addresses and the agents' alone: new
+//! Every balancer computes the same order from the addresses of the flow and the agents alone. New
 //! flows are placed near its head, so a balancer that does not remember a flow asks there first.
 
 use loftdrift_wire::FlowKey;
 use loftdrift_wire::flow_hash;
 use std::net::SocketAddrV4;
 
-/// Odd multipliers of the finishing steps, from the public-domain generator SplitMix64.
+/// Odd multipliers of the finalizer of the public-domain generator SplitMix64.
 const MIX: [u64; 2] = [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb];
 
 /// Ranks agents for one flow.
@@ -25,7 +25,7 @@
     }
 }
 
-/// A number drawn from two addresses and a count, the same at every call.
+/// A stable hash of two addresses and a counter.
 pub(crate) fn stable_hash(one: &SocketAddrV4, other: &SocketAddrV4, count: u64) -> u64 {
     mix(mix(address_bits(one)) ^ mix(!address_bits(other)).rotate_left(1) ^ mix(count))
 }
--- a/crates/carried/src/retained_evacuations.rs
+++ b/crates/carried/src/retained_evacuations.rs
@@ -1,16 +1,18 @@
-//! Evacuations that hold though the shared store, back from an older copy, does not name them.
+//! Evacuations that stay in force although the shared store, restored from an older copy, does not
+//! list them.
 //!
-//! Nothing tells an evacuation that was lost with the copy from one that operators have ended meanwhile.
-//! They write again what was lost; until that is certain, a zone which may still be evacuated gets
-//! nothing new: two seconds without its back ends cost less than new flows in a zone that is being emptied.
+//! An evacuation that was lost with the newer data cannot be told from one that operators have
+//! ended meanwhile. Operators write again what was lost. Until it is certain that they won't, a
+//! zone that may still be evacuated gets no new flows: two seconds without its back ends cost less
+//! than new flows in a zone that is being emptied.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// What is not written again so long after the store's return is gone.
+/// An evacuation that is not written again within this time after the restore is dropped.
 const RETENTION_DURATION: Duration = Duration::from_secs(2);
 
-/// Zones that are kept evacuated, and until when.
+/// Zones that are kept evacuated, with the end of that time.
 #[derive(Debug, Default)]
 pub(crate) struct RetainedEvacuations {
     zones: BTreeSet<String>,
@@ -18,7 +20,7 @@
 }
 
 impl RetainedEvacuations {
-    /// The store has come back; `before` were evacuated until now.
+    /// Called when the store has been restored; `before` are the zones evacuated until now.
     pub(crate) fn retain(&mut self, now: Duration, before: BTreeSet<String>) {
         self.zones = before;
         self.ends_at = now + RETENTION_DURATION;
@@ -28,12 +30,12 @@
         &self.zones
     }
 
-    /// When the zones are no longer kept.
+    /// When the zones stop being retained.
     pub(crate) fn ends_at(&self) -> Option<Duration> {
         (!self.zones.is_empty()).then_some(self.ends_at)
     }
 
-    /// Keeps nothing any more.
+    /// Drops all retained evacuations.
     pub(crate) fn clear(&mut self) {
         self.zones.clear();
     }
--- a/crates/carried/src/segment.rs
+++ b/crates/carried/src/segment.rs
@@ -5,33 +5,34 @@
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// A packet's identity and meaning.
+/// The header fields of a packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Segment {
-    /// The end that sent it.
+    /// The sender.
     pub source: SocketAddrV4,
-    /// The end that it is for.
+    /// The receiver.
     pub destination: SocketAddrV4,
-    /// Its sequence number.
+    /// Sequence number of its first byte.
     pub sequence: u32,
-    /// The sequence number that it acknowledges; in an opening packet, which copy it is.
+    /// The sequence number that it acknowledges; in a SYN, the number of the retransmission (0 for
+    /// the first).
     pub acknowledgement: u32,
-    /// SYN is set.
+    /// The SYN flag.
     pub syn: bool,
-    /// ACK is set.
+    /// The ACK flag.
     pub ack: bool,
-    /// FIN is set.
+    /// The FIN flag.
     pub fin: bool,
-    /// RST is set.
+    /// The RST flag.
     pub rst: bool,
-    /// The back end did not take the packet and sends it back.
+    /// The back end refused the packet and returns it.
     pub returned: bool,
-    /// Bytes of data behind the head.
+    /// Length of the payload.
     pub payload_bytes: u16,
 }
 
 impl Segment {
-    /// A packet without flags, numbers or data.
+    /// A packet without flags, numbers or payload.
     pub fn between(source: SocketAddrV4, destination: SocketAddrV4) -> Self {
         Segment {
             source,
@@ -47,23 +48,23 @@
         }
     }
 
-    /// The flow of a packet that a caller sent.
+    /// The flow of a packet sent by a caller.
     pub fn flow(&self) -> FlowKey {
         FlowKey { caller: self.source, service: self.destination, transport: Transport::Tcp }
     }
 
-    /// The flow of a packet that a back end sent.
+    /// The flow of a packet sent by a back end.
     pub fn flow_of_answer(&self) -> FlowKey {
         self.flow().reversed()
     }
 
-    /// The sequence number behind its data.
+    /// The sequence number after its payload.
     pub fn end(&self) -> u32 {
         self.sequence.wrapping_add(u32::from(self.payload_bytes))
     }
 
-    /// Whether two packets between the same addresses can be of one flow: both ends' numbers are
-    /// near each other.
+    /// Whether two packets between the same addresses can belong to one flow: the numbers of both
+    /// ends are near each other.
     pub fn may_share_flow(&self, other: &Segment) -> bool {
         let is_known = self.ack && other.ack;
         let is_near = |one: u32, other: u32| {
@@ -73,59 +74,60 @@
             && (!is_known || is_near(self.acknowledgement, other.acknowledgement))
     }
 
-    /// Whether the packet asks for a new flow.
+    /// Whether the packet is a SYN that asks for a new flow, not a SYN-ACK.
     pub fn is_syn(&self) -> bool {
         self.syn && !self.ack
     }
 }
 
-/// Further apart, in bytes, are no two packets of one flow that are under way.
+/// Maximum distance in bytes between two packets of one flow that are in flight.
 pub(crate) const MAX_WINDOW_BYTES: u32 = 1 << 18;
 
-/// Why a datagram is no packet of a carried flow.
+/// Why a datagram is not a packet of a carried flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SegmentError {
-    /// Shorter than a head, or than its head says.
+    /// Shorter than a header, or than the length in its header.
     #[error("datagram shorter than the packet in it")]
     Truncated,
-    /// Longer than its head says, or than any packet may be.
+    /// Longer than the length in its header, or than any packet may be.
     #[error("datagram longer than the packet in it")]
     Oversized,
 }
 
-/// What a back end said to a request, as far as the first packet of its answer tells.
+/// Outcome of a request, as far as the first packet of the back end's answer shows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerOutcome {
-    /// The request was answered, or the packet does not tell otherwise.
+    /// The request was answered, or the packet does not show otherwise.
     Answered,
     /// The back end failed.
     Failed,
-    /// The back end did not take the request.
+    /// The back end refused the request.
     Refused,
 }
 
-/// How packets of carried flows are written. An implementation translates and decides nothing.
+/// Encoding of the packets of carried flows. An implementation only translates and makes no
+/// decisions.
 pub trait SegmentFormat: Send + Sync + 'static {
-    /// Reads a datagram.
+    /// Parses a datagram.
     fn parse(&self, datagram: &[u8]) -> Result<Segment, SegmentError>;
-    /// A reset that answers a caller's packet.
+    /// Builds a reset that answers a caller's packet.
     fn reset(&self, answered: &Segment) -> Vec<u8>;
-    /// The identity of the request whose first bytes a packet carries, where the packet tells it.
+    /// The id of the request that begins in a packet, if the packet contains it.
     fn request_id<'a>(&self, datagram: &'a [u8]) -> Option<&'a str> {
         let _ = datagram;
         None
     }
-    /// What the back end said, read from the first packet of its answer.
+    /// Reads the outcome of a request from the first packet of its answer.
     fn answer_outcome(&self, datagram: &[u8]) -> AnswerOutcome {
         let _ = datagram;
         AnswerOutcome::Answered
     }
-    /// Takes the mark of a packet that a back end sent back off it, so that it is as its sender
-    /// wrote it.
+    /// Clears the mark of a packet returned by a back end, which restores it to what its sender
+    /// wrote.
     fn clear_returned(&self, datagram: &mut [u8]);
 }
 
-/// A flow's name in logs, `caller>service`: what every packet of the flow carries.
+/// A flow's name in logs, `caller>service`, which every packet of the flow contains.
 pub fn flow_name(flow: &FlowKey) -> String {
     format!("{}>{}", flow.caller, flow.service)
 }
--- a/crates/carried/src/store_status.rs
+++ b/crates/carried/src/store_status.rs
@@ -1,48 +1,50 @@
-//! What nodes tell each other of the shared store: how long ago it has confirmed that nothing newer
-//! was there, and how often it has come back.
+//! What nodes tell each other about the shared store: how long ago it confirmed that it held
+//! nothing newer, and how often it came back after an outage.
 //!
-//! Only a few nodes wait at the store; the others must be able to tell a quiet hour from one in which
-//! nobody hears of changes.
+//! Only a few nodes watch the store. The others must be able to tell a period without changes from
+//! one in which changes do not reach anybody.
 //!
 //! Invariants:
-//! - A confirmation is never taken for younger than it is but for what a message was on its way: each
-//!   hop adds [`HOP_AGE`], and one that has come far enough is not passed on.
-//! - It holds for any version at or above the one that it came with.
+//! - A confirmation is never taken for younger than it is, except for the time that a message was
+//!   in transit: each hop adds [`HOP_AGE`], and one that has passed [`MAX_HOPS`] hops is ignored.
+//! - It holds for every version that covers the one it was sent with.
 
 use bincode::{Decode, Encode};
 use std::time::Duration;
 
-/// Age that each hop adds: more than a message takes on its way, so that a confirmation which goes
-/// round between nodes grows old.
+/// Age added per hop. It exceeds the transit time of a message, so that a confirmation that
+/// circulates between nodes grows old.
 const HOP_AGE: Duration = Duration::from_millis(50);
-/// So many hops reach every node: heartbeats spread to more than two others at each.
+/// Enough hops to reach every node: at each hop heartbeats go to more than two others.
 const MAX_HOPS: u8 = 12;
 
-/// The store's word that no newer configuration was there, as a heartbeat tells it.
+/// The store's confirmation that it held no newer configuration, as sent in heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Confirmation {
     /// Milliseconds since the store gave it.
     pub ms_ago: u32,
-    /// Nodes that passed it on.
+    /// Number of nodes that passed it on.
     pub hops: u8,
 }
 
-/// What one node knows of the store, from there or by hearsay.
+/// What one node knows of the store, read directly or reported by peers.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StoreStatus {
-    /// Every configuration accepted before this moment is known here, and over how many hops.
+    /// Every configuration written before this time is known here; with the number of hops the
+    /// confirmation took.
     confirmed: Option<(Duration, u8)>,
-    /// How often the store has come back, as far as is known. Nodes take the largest number heard.
+    /// Known number of recoveries from an outage: the largest number that any node reported.
     restores: u32,
 }
 
 impl StoreStatus {
-    /// The store has answered this node.
+    /// Notes that the store has answered this node and holds nothing newer.
     pub(crate) fn note_confirmed(&mut self, now: Duration) {
         self.confirmed = Some((now, 0));
     }
 
-    /// Takes what a peer tells whose configuration is no newer than the one in force here.
+    /// Handles the confirmation of a peer whose configuration is not newer than the one in force
+    /// here.
     pub(crate) fn on_confirmation(&mut self, now: Duration, confirmation: Confirmation) {
         if confirmation.hops >= MAX_HOPS {
             return;
@@ -54,33 +56,34 @@
         }
     }
 
-    /// Until when every accepted configuration is known here; the process's start before anything
-    /// was heard.
+    /// The time up to which every written configuration is known here; zero, the start of the
+    /// process, before the first confirmation.
     pub(crate) fn confirmed_at(&self) -> Duration {
         self.confirmed.map_or(Duration::ZERO, |(at, _)| at)
     }
 
-    /// What a heartbeat tells.
+    /// The confirmation to send in heartbeats.
     pub(crate) fn confirmation(&self, now: Duration) -> Option<Confirmation> {
         let (at, hops) = self.confirmed?;
         let ms_ago = u32::try_from(now.saturating_sub(at).as_millis()).unwrap_or(u32::MAX);
         Some(Confirmation { ms_ago, hops })
     }
 
-    /// How often the store has come back.
+    /// Known number of recoveries from an outage.
     pub(crate) fn restores(&self) -> u32 {
         self.restores
     }
 
-    /// The store is back, after an absence that began when so many returns were known; one that
-    /// another node has told of since is not counted twice.
+    /// Counts the store's recovery from an outage; `known_before` is the number of recoveries known
+    /// when the outage began. A recovery that another node has reported since then is not counted
+    /// twice; the result is `true` if it was counted.
     pub(crate) fn note_restore(&mut self, known_before: u32) -> bool {
-        let is_news = self.restores == known_before;
-        self.restores = self.restores.saturating_add(u32::from(is_news));
-        is_news
+        let is_first_report = self.restores == known_before;
+        self.restores = self.restores.saturating_add(u32::from(is_first_report));
+        is_first_report
     }
 
-    /// Takes the number of returns that a peer knows.
+    /// Takes over the number of recoveries that a peer knows, if it is larger.
     pub(crate) fn note_peer_restores(&mut self, returns: u32) {
         self.restores = self.restores.max(returns);
     }
