--- a/crates/bench/benches/carried.rs
+++ b/crates/bench/benches/carried.rs
@@ -59,7 +59,7 @@
         },
         digest: 0,
         confirmation: None,
-        store_restores: 0,
+        store_recoveries: 0,
         report: Some(LoadReport {
             service: format!("service-{service}"),
             condition: BackendCondition::Accepting,
--- a/crates/bench/benches/lookups.rs
+++ b/crates/bench/benches/lookups.rs
@@ -40,7 +40,7 @@
         configuration: Version { number: 1, ..Version::default() },
         digest: 0,
         confirmation: None,
-        store_restores: 0,
+        store_recoveries: 0,
         report: Some(report),
         wants_reply: false,
     })
--- a/crates/carried/src/balancer/audit.rs
+++ b/crates/carried/src/balancer/audit.rs
@@ -81,7 +81,7 @@
     /// Asks for the list when it is time; only balancers that wait at the store do.
     pub(super) fn audit_when_due(&mut self, now: Duration, is_auditor: bool) {
         let has_returned = self.audit.note_returns(
-            self.standing.store.restores(),
+            self.standing.store.recoveries(),
             self.standing.configuration.version.position.era,
         );
         if !is_auditor {
--- a/crates/carried/src/balancer/store_watch.rs
+++ b/crates/carried/src/balancer/store_watch.rs
@@ -108,7 +108,7 @@
 
     /// How often the shared store has come back after an absence, as far as is known.
     pub fn store_returns(&self) -> u32 {
-        self.standing.store.restores()
+        self.standing.store.recoveries()
     }
 
     /// Learns whether the shared store answers this balancer: all that it had is known by now.
@@ -117,7 +117,7 @@
         if !answers {
             let jitter = self.random.random_range(0.75..1.25);
             self.store_watch.rest(now, jitter);
-            let returns = self.standing.store.restores();
+            let returns = self.standing.store.recoveries();
             self.store_watch.lost_at.get_or_insert(returns);
             return;
         }
@@ -125,7 +125,7 @@
         self.store_watch.failures = 0;
         self.store_watch.rests_until = Duration::ZERO;
         let lost_at = self.store_watch.lost_at.take();
-        if lost_at.is_some_and(|known| self.standing.store.note_restore(known)) {
+        if lost_at.is_some_and(|known| self.standing.store.note_recovery(known)) {
             self.standing.membership.spread_news(now);
         }
     }
--- a/crates/carried/src/cluster_state.rs
+++ b/crates/carried/src/cluster_state.rs
@@ -168,7 +168,7 @@
         self.newest_reported = self.newest_reported.join(heartbeat.configuration);
         self.note_peer_version(heartbeat);
         let is_ahead = !self.configuration.version.covers(&heartbeat.configuration);
-        self.store.note_peer_restores(heartbeat.store_restores);
+        self.store.note_peer_recoveries(heartbeat.store_recoveries);
         if let Some(confirmation) = heartbeat.confirmation.filter(|_| !is_ahead) {
             self.store.on_confirmation(now, confirmation);
         }
@@ -210,7 +210,7 @@
             configuration: self.configuration.version,
             digest: self.digest,
             confirmation: self.store.confirmation(now),
-            store_restores: self.store.restores(),
+            store_recoveries: self.store.recoveries(),
             report,
             wants_reply,
         };
--- a/crates/carried/src/message.rs
+++ b/crates/carried/src/message.rs
@@ -210,7 +210,7 @@
     /// The latest confirmation known to the sender that the shared store held nothing newer.
     pub confirmation: Option<Confirmation>,
     /// How often the shared store came back after an outage, as far as the sender knows.
-    pub store_restores: u32,
+    pub store_recoveries: u32,
     /// Load of the sender, if it is an agent.
     pub report: Option<LoadReport>,
     /// The sender has no recent heartbeat of the receiver and wants one in return.
--- a/crates/carried/src/store_status.rs
+++ b/crates/carried/src/store_status.rs
@@ -34,7 +34,7 @@
     /// confirmation took.
     confirmed: Option<(Duration, u8)>,
     /// Known number of recoveries from an outage: the largest number that any node reported.
-    restores: u32,
+    recoveries: u32,
 }
 
 impl StoreStatus {
@@ -70,21 +70,21 @@
     }
 
     /// Known number of recoveries from an outage.
-    pub(crate) fn restores(&self) -> u32 {
-        self.restores
+    pub(crate) fn recoveries(&self) -> u32 {
+        self.recoveries
     }
 
     /// Counts the store's recovery from an outage; `known_before` is the number of recoveries known
     /// when the outage began. A recovery that another node has reported since then is not counted
     /// twice; the result is `true` if it was counted.
-    pub(crate) fn note_restore(&mut self, known_before: u32) -> bool {
-        let is_first_report = self.restores == known_before;
-        self.restores = self.restores.saturating_add(u32::from(is_first_report));
+    pub(crate) fn note_recovery(&mut self, known_before: u32) -> bool {
+        let is_first_report = self.recoveries == known_before;
+        self.recoveries = self.recoveries.saturating_add(u32::from(is_first_report));
         is_first_report
     }
 
     /// Takes over the number of recoveries that a peer knows, if it is larger.
-    pub(crate) fn note_peer_restores(&mut self, returns: u32) {
-        self.restores = self.restores.max(returns);
+    pub(crate) fn note_peer_recoveries(&mut self, returns: u32) {
+        self.recoveries = self.recoveries.max(returns);
     }
 }
--- a/crates/carried/tests/agent.rs
+++ b/crates/carried/tests/agent.rs
@@ -97,7 +97,7 @@
 #[test]
 fn a_back_end_that_left_unannounced_is_not_revived_by_its_late_heartbeat() {
     let mut agent = agent(false);
-    agent.take_departure(milliseconds(1), &gone("one"));
+    agent.take_departure(milliseconds(1), &departed("one"));
     agent.take_report(milliseconds(2), &report("one", 7, true));
     agent.handle_peer(milliseconds(3), balancer_address(), &offer(1, 1, Admission::FreeSlot));
     assert_eq!(declined(&outputs(&mut agent)), Some(DeclineReason::NotAccepting));
@@ -112,16 +112,16 @@
     agent.handle_backend(milliseconds(10), packet(&finish));
     outputs(&mut agent);
     // The caller uses its port again for a flow at another back end, with other numbers.
-    let elsewhere = find(1, 3_000_000_000);
+    let elsewhere = lookup(1, 3_000_000_000);
     agent.handle_peer(milliseconds(20), balancer_address(), &elsewhere);
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)]);
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Absent)]);
     let packet_elsewhere = packet(&data(1, 900, 3_000_000_000));
     let forwarded = Message::Forward { datagram: packet_elsewhere.clone() }.encode();
     agent.handle_peer(milliseconds(20), balancer_address(), &forwarded);
     let not_held = Message::NotOwned { datagram: packet_elsewhere };
     assert_eq!(outputs(&mut agent), [to_balancer(not_held)]);
-    agent.handle_peer(milliseconds(21), balancer_address(), &find(1, 502));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
+    agent.handle_peer(milliseconds(21), balancer_address(), &lookup(1, 502));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Owned)]);
     let here = Message::Forward { datagram: packet(&data(1, 110, 502)) }.encode();
     agent.handle_peer(milliseconds(21), balancer_address(), &here);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
@@ -147,16 +147,16 @@
 fn a_trial_of_a_forgotten_flow_resets_nobody() {
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
-    agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)], "no packet is given yet");
+    agent.handle_peer(milliseconds(1), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Unknown)], "no packet is given yet");
     let tried = Message::TryForward { datagram: packet(&data(1, 101, 501)) }.encode();
     agent.handle_peer(milliseconds(1), balancer_address(), &tried);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
     let reset = Segment { rst: true, ..answer(1, 501) };
     agent.handle_backend(milliseconds(2), packet(&reset));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)], "and no caller is reset");
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Absent)], "and no caller is reset");
     agent.handle_peer(milliseconds(3), balancer_address(), &tried);
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)], "tried once");
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Absent)], "tried once");
 }
 
 #[test]
--- a/crates/carried/tests/balancer.rs
+++ b/crates/carried/tests/balancer.rs
@@ -73,7 +73,7 @@
 #[test]
 fn a_slot_is_asked_for_then_each_queue_then_two_lines_and_then_the_caller_is_told() {
     let mut balancer = settled_balancer(3);
-    balancer.handle_caller(SETTLED, &packet(&opening(1)));
+    balancer.handle_caller(SETTLED, &packet(&syn(1)));
     let mut asked = Vec::new();
     loop {
         let outputs = outputs_of(&mut balancer);
@@ -113,7 +113,7 @@
     let mut refused = 0;
     for port in 1..=200 {
         let now = SETTLED + milliseconds(u64::from(port));
-        balancer.handle_caller(now, &packet(&opening(port)));
+        balancer.handle_caller(now, &packet(&syn(port)));
         for _ in 0..2 {
             let outputs = outputs_of(&mut balancer);
             let Some(offer) = offers(&outputs).first().copied() else { break };
@@ -134,7 +134,7 @@
 #[test]
 fn an_agent_that_says_nothing_is_passed_over_within_milliseconds() {
     let mut balancer = balancer(2);
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let first = offers(&outputs_of(&mut balancer));
     balancer.handle_timeout(milliseconds(40));
     let outputs = outputs_of(&mut balancer);
@@ -147,7 +147,7 @@
 fn an_answer_from_an_agent_that_was_not_asked_places_nothing() {
     let mut balancer = balancer(2);
     tell(&mut balancer, milliseconds(0), 9, load("sheets", 0));
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let offer = offers(&outputs_of(&mut balancer))[0];
     let placed = Message::Placed { number: offer.1, report: load("sheets", 1) };
     balancer.handle_peer(milliseconds(2), agent_address(9), &placed.encode());
@@ -160,9 +160,9 @@
     let mut balancer = balancer(1);
     tell(&mut balancer, milliseconds(0), 9, load("sheets", 0));
     // A wrong memory: the flow is believed to live at an agent of another service.
-    let held = found(1, FlowStatus::Owned);
+    let held = reply(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(1), agent_address(9), &held.encode());
-    let copy = Segment { acknowledgement: 1, ..opening(1) };
+    let copy = Segment { acknowledgement: 1, ..syn(1) };
     balancer.handle_caller(milliseconds(2), &packet(&copy));
     let asked: Vec<_> = offers(&outputs_of(&mut balancer)).iter().map(|offer| offer.0).collect();
     assert_eq!(asked, [agent_address(1)]);
@@ -175,7 +175,7 @@
         let mut balancer = CarriedBalancer::new(settings, PlainFormat);
         balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
         tell(&mut balancer, milliseconds(0), 1, load(SERVICE, 0));
-        balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+        balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
         offers(&outputs_of(&mut balancer))[0].1
     };
     assert_ne!(first_number(1), first_number(2));
@@ -189,7 +189,7 @@
     let outputs = outputs_of(&mut balancer);
     assert_eq!(located(&outputs).len(), 3);
     assert!(!has_reset(&outputs));
-    let held = found(1, FlowStatus::Owned);
+    let held = reply(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(2), agent_address(2), &held.encode());
     let forwarded = |sequence| {
         let datagram = packet(&data(1, sequence, 501));
@@ -203,7 +203,7 @@
 #[test]
 fn a_packet_that_an_agent_does_not_hold_is_located_among_the_others() {
     let mut balancer = balancer(3);
-    let held = found(1, FlowStatus::Owned);
+    let held = reply(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(1), agent_address(2), &held.encode());
     let not_held = Message::NotOwned { datagram: packet(&data(1, 101, 501)) };
     balancer.handle_peer(milliseconds(2), agent_address(2), &not_held.encode());
@@ -226,7 +226,7 @@
 #[test]
 fn an_address_without_route_is_reset_once_routes_are_known_and_not_before() {
     let mut balancer = balancer(1);
-    let elsewhere = Segment { destination: address("198.18.0.9:443"), ..opening(1) };
+    let elsewhere = Segment { destination: address("198.18.0.9:443"), ..syn(1) };
     balancer.handle_caller(milliseconds(1), &packet(&elsewhere));
     assert!(has_reset(&outputs_of(&mut balancer)));
 
@@ -248,7 +248,7 @@
     let mut to_sheets = 0;
     for port in 1..=100 {
         outputs_of(&mut balancer);
-        balancer.handle_caller(milliseconds(2), &packet(&opening(port)));
+        balancer.handle_caller(milliseconds(2), &packet(&syn(port)));
         let asked = offers(&outputs_of(&mut balancer));
         to_sheets += asked.iter().filter(|offer| offer.0 == agent_address(9)).count();
     }
@@ -284,7 +284,7 @@
     let mut balancer = balancer(2);
     tell(&mut balancer, milliseconds(1), 1, load(SERVICE, 4));
     tell(&mut balancer, milliseconds(1), 2, load(SERVICE, 4));
-    balancer.handle_caller(milliseconds(2), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
     let mut asked = Vec::new();
     loop {
         let outputs = outputs_of(&mut balancer);
@@ -298,7 +298,7 @@
 #[test]
 fn a_caller_that_goes_on_is_not_reset_though_no_agents_answer_came() {
     let mut balancer = balancer(1);
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(8), &packet(&data(1, 101, 501)));
     for at in [40, 100, 250, 400, 1_500] {
@@ -314,7 +314,7 @@
     let failing = LoadReport { condition: BackendCondition::Failing, ..load(SERVICE, 0) };
     let mut balancer = balancer(2);
     tell(&mut balancer, milliseconds(1), 1, failing.clone());
-    balancer.handle_caller(milliseconds(2), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
     let offer = offers(&outputs_of(&mut balancer))[0];
     assert_eq!(offer.0, agent_address(2));
     let message = Message::Declined {
--- a/crates/carried/tests/breaker.rs
+++ b/crates/carried/tests/breaker.rs
@@ -20,7 +20,7 @@
 fn ask(agent: &mut CarriedAgent, now: Duration, port: u16) -> Option<DeclineReason> {
     // Each flow of a port begins with a number of its own, as a caller's do.
     let sequence = agent.counters(now).offers_received as u32;
-    let opening = Segment { sequence, ..opening(port) };
+    let opening = Segment { sequence, ..syn(port) };
     let message = Message::Offer {
         number: 1,
         service: SERVICE.to_owned(),
--- a/crates/carried/tests/choice.rs
+++ b/crates/carried/tests/choice.rs
@@ -23,7 +23,7 @@
 
 fn first_offer(balancer: &mut CarriedBalancer, now: Duration, port: u16) -> (SocketAddrV4, u64) {
     outputs_of(balancer);
-    balancer.handle_caller(now, &packet(&opening(port)));
+    balancer.handle_caller(now, &packet(&syn(port)));
     offers(&outputs_of(balancer))[0]
 }
 
--- a/crates/carried/tests/endings.rs
+++ b/crates/carried/tests/endings.rs
@@ -47,16 +47,16 @@
     assert_eq!(resets(&told), 1);
     assert!(told.contains(&ended(1)));
     assert_eq!(agent.counters(milliseconds(100)).flows_reset, 1);
-    agent.handle_peer(milliseconds(101), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)]);
+    agent.handle_peer(milliseconds(101), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Absent)]);
 }
 
 #[test]
 fn a_back_end_that_restarted_and_said_so_has_its_callers_told_as_well() {
     let mut agent = agent_with_flow();
     agent.take_report(milliseconds(50), &report("two", 1, true));
-    agent.handle_peer(milliseconds(100), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)], "its back end is to tell");
+    agent.handle_peer(milliseconds(100), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Unknown)], "its back end is to tell");
     let tried = Message::TryForward { datagram: packet(&data(1, 101, 501)) }.encode();
     agent.handle_peer(milliseconds(101), balancer_address(), &tried);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
@@ -68,18 +68,18 @@
 fn an_agent_that_restarted_beside_a_living_back_end_resets_nobody() {
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
-    agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)]);
+    agent.handle_peer(milliseconds(1), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Unknown)]);
     // Its own flow: the back end answers.
     agent.handle_peer(milliseconds(2), balancer_address(), &forward(1, 101));
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
     agent.handle_backend(milliseconds(3), packet(&Segment { payload_bytes: 10, ..answer(1, 501) }));
-    assert!(outputs(&mut agent).contains(&says(1, FlowStatus::Owned)));
+    assert!(outputs(&mut agent).contains(&replies(1, FlowStatus::Owned)));
     // Another back end's flow: sent back once, and known from then on.
     agent.handle_peer(milliseconds(4), balancer_address(), &forward(2, 101));
     outputs(&mut agent);
     agent.handle_backend(milliseconds(4), returned(2, 101));
-    assert_eq!(outputs(&mut agent), [says(2, FlowStatus::Absent)]);
+    assert_eq!(outputs(&mut agent), [replies(2, FlowStatus::Absent)]);
     agent.handle_peer(milliseconds(5), balancer_address(), &forward(2, 101));
     let after = outputs(&mut agent);
     assert_eq!((sent_to_backend(&after), resets(&after)), (0, 0));
@@ -88,15 +88,15 @@
 #[test]
 fn both_restarted_and_the_balancer_is_told_that_the_flow_is_not_here() {
     let mut agent = agent(false);
-    agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
+    agent.handle_peer(milliseconds(1), balancer_address(), &lookup(1, 501));
     assert_eq!(
         outputs(&mut agent),
-        [says(1, FlowStatus::NotReady)],
+        [replies(1, FlowStatus::NotReady)],
         "not before the back end is known"
     );
     agent.take_report(milliseconds(10), &report("two", 1, true));
-    agent.handle_peer(milliseconds(11), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Absent)]);
+    agent.handle_peer(milliseconds(11), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Absent)]);
 }
 
 #[test]
@@ -104,8 +104,8 @@
     let mut agent = agent(false);
     // An earlier process of the agent may have placed flows in between.
     agent.take_report(milliseconds(0), &report("one", 2, true));
-    agent.handle_peer(milliseconds(1), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Unknown)]);
+    agent.handle_peer(milliseconds(1), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Unknown)]);
 }
 
 #[test]
@@ -163,8 +163,8 @@
     agent.handle_peer(milliseconds(700), balancer_address(), &offer(3, 3, Admission::FreeSlot));
     assert_eq!(declined(&outputs(&mut agent)), Some(DeclineReason::NotAccepting));
     // A flow that waited for nothing is told at its next packet.
-    agent.handle_peer(milliseconds(701), balancer_address(), &find(2, 501));
-    assert_eq!(outputs(&mut agent), [says(2, FlowStatus::Absent)]);
+    agent.handle_peer(milliseconds(701), balancer_address(), &lookup(2, 501));
+    assert_eq!(outputs(&mut agent), [replies(2, FlowStatus::Absent)]);
     agent.take_report(milliseconds(900), &report("two", 1, true));
     agent.handle_peer(milliseconds(901), balancer_address(), &offer(4, 4, Admission::FreeSlot));
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1, "its next start is taken");
@@ -182,8 +182,8 @@
         from = at;
     }
     assert!((2..=4).contains(&probes), "{probes}: about one a second");
-    agent.handle_peer(milliseconds(4_000), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
+    agent.handle_peer(milliseconds(4_000), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Owned)]);
 }
 
 #[test]
@@ -198,7 +198,7 @@
         configuration: at(0),
         digest: 0,
         confirmation: None,
-        store_restores: 0,
+        store_recoveries: 0,
         report: None,
         wants_reply: false,
     };
@@ -243,8 +243,8 @@
         agent.take_probe(milliseconds(at), ProbeOutcome::Refused);
     }
     assert!(Duration::from_millis(at) < milliseconds(200));
-    agent.handle_peer(milliseconds(at), balancer_address(), &find(1, 501));
-    assert!(outputs(&mut agent).contains(&says(1, FlowStatus::Absent)));
+    agent.handle_peer(milliseconds(at), balancer_address(), &lookup(1, 501));
+    assert!(outputs(&mut agent).contains(&replies(1, FlowStatus::Absent)));
 }
 
 #[test]
@@ -262,14 +262,14 @@
         said[..],
         [Output::ToPeer { message: Message::Placed { number: 77, .. }, .. }]
     ));
-    agent.handle_peer(milliseconds(901), balancer_address(), &find(1, 511));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
+    agent.handle_peer(milliseconds(901), balancer_address(), &lookup(1, 511));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Owned)]);
 }
 
 #[test]
 fn a_port_that_is_used_again_opens_another_flow() {
     let mut agent = agent_with_flow();
-    let again = Segment { sequence: 9_000_000, ..opening(1) };
+    let again = Segment { sequence: 9_000_000, ..syn(1) };
     let message = Message::Offer {
         number: 78,
         service: SERVICE.to_owned(),
@@ -294,6 +294,6 @@
     agent.adopt(milliseconds(600), idle(2, 2_000));
     agent.handle_timeout(milliseconds(9_000));
     outputs(&mut agent);
-    agent.handle_peer(milliseconds(9_000), balancer_address(), &find(1, 501));
-    assert_eq!(outputs(&mut agent), [says(1, FlowStatus::Owned)]);
+    agent.handle_peer(milliseconds(9_000), balancer_address(), &lookup(1, 501));
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Owned)]);
 }
--- a/crates/carried/tests/evacuation.rs
+++ b/crates/carried/tests/evacuation.rs
@@ -78,7 +78,7 @@
     tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
     let asked = |balancer: &mut loftdrift_carried::CarriedBalancer, at: u64, port: u16| {
         outputs_of(balancer);
-        balancer.handle_caller(milliseconds(at), &packet(&opening(port)));
+        balancer.handle_caller(milliseconds(at), &packet(&syn(port)));
         offers(&outputs_of(balancer)).into_iter().map(|(agent, _)| agent).collect::<Vec<_>>()
     };
     assert_eq!(asked(&mut balancer, 1, 1), [agent_address(1)]);
@@ -96,7 +96,7 @@
     tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
     balancer.adopt(milliseconds(1), evacuated(2, &[HOME, OTHER]));
     outputs_of(&mut balancer);
-    balancer.handle_caller(milliseconds(2), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
     let made = outputs_of(&mut balancer);
     assert_eq!(offers(&made), []);
     assert!(made.iter().any(is_reset), "{made:?}");
@@ -134,7 +134,7 @@
             configuration: at(configuration),
             digest,
             confirmation: None,
-            store_restores: 0,
+            store_recoveries: 0,
             report: None,
             wants_reply: false,
         })
@@ -193,7 +193,7 @@
             configuration: at(2),
             digest: 0,
             confirmation: None,
-            store_restores: 0,
+            store_recoveries: 0,
             report: Some(accepting()),
             wants_reply: false,
         })
@@ -202,7 +202,7 @@
     balancer.handle_peer(milliseconds(0), agent_address(2), &heartbeat("far").encode());
     for port in 1..=20 {
         outputs_of(&mut balancer);
-        balancer.handle_caller(milliseconds(1), &packet(&opening(port)));
+        balancer.handle_caller(milliseconds(1), &packet(&syn(port)));
         let asked = offers(&outputs_of(&mut balancer));
         assert!(asked.iter().all(|(agent, _)| *agent == agent_address(2)), "{asked:?}");
     }
@@ -261,7 +261,7 @@
         tell_from_zone(balancer, milliseconds(at), 2, OTHER, accepting());
         balancer.handle_timeout(milliseconds(at));
         outputs_of(balancer);
-        balancer.handle_caller(milliseconds(at), &packet(&opening(port)));
+        balancer.handle_caller(milliseconds(at), &packet(&syn(port)));
         offers(&outputs_of(balancer)).into_iter().map(|(agent, _)| agent).collect::<Vec<_>>()
     };
     balancer.adopt(milliseconds(1), evacuated(50, &[HOME]));
--- a/crates/carried/tests/fence.rs
+++ b/crates/carried/tests/fence.rs
@@ -40,7 +40,7 @@
         configuration: at(configuration),
         digest: 0,
         confirmation: None,
-        store_restores: 0,
+        store_recoveries: 0,
         report: Some(load()),
         wants_reply: false,
     };
@@ -49,7 +49,7 @@
 
 fn offers_of(balancer: &mut CarriedBalancer, now: Duration, port: u16) -> usize {
     outputs_of(balancer);
-    balancer.handle_caller(now, &packet(&opening(port)));
+    balancer.handle_caller(now, &packet(&syn(port)));
     offers(&outputs_of(balancer)).len()
 }
 
--- a/crates/carried/tests/incarnations.rs
+++ b/crates/carried/tests/incarnations.rs
@@ -110,7 +110,7 @@
 fn a_departure_without_a_birth_means_the_start_that_is_known() {
     let mut agent = agent(false);
     beat(&mut agent, 10, BIRTHS[0], 5, true);
-    agent.take_departure(milliseconds(20), &gone("one"));
+    agent.take_departure(milliseconds(20), &departed("one"));
     assert!(!takes_flows(&mut agent, 30, 1));
     assert_eq!(beat(&mut agent, 40, BIRTHS[0], 6, true), ReportOutcome::Outdated);
     assert_eq!(beat(&mut agent, 50, BIRTHS[1], 1, true), ReportOutcome::Started);
--- a/crates/carried/tests/late_heartbeats.rs
+++ b/crates/carried/tests/late_heartbeats.rs
@@ -92,7 +92,7 @@
     assert_eq!(beat(&mut agent, 2_000, "second", 1, true), ReportOutcome::Started);
     // After a planned end too.
     beat(&mut agent, 3_000, "second", 2, false);
-    agent.take_departure(milliseconds(8_000), &gone("second"));
+    agent.take_departure(milliseconds(8_000), &departed("second"));
     assert_eq!(beat(&mut agent, 8_500, "third", 1, true), ReportOutcome::Started);
     assert_eq!(beat(&mut agent, 8_600, "second", 3, true), ReportOutcome::Outdated, "it is gone");
     assert!(takes_flows(&mut agent, 8_700, 1));
--- a/crates/carried/tests/lateness.rs
+++ b/crates/carried/tests/lateness.rs
@@ -56,7 +56,7 @@
         balancer.handle_timeout(now);
         for _ in 0..FLOWS {
             port += 1;
-            balancer.handle_caller(now, &packet(&opening(port)));
+            balancer.handle_caller(now, &packet(&syn(port)));
         }
         for output in outputs_of(balancer) {
             match output {
@@ -92,7 +92,7 @@
     let mut balancer = balancer(Policies::default());
     let mut now = milliseconds(10);
     for port in 1..=60 {
-        balancer.handle_caller(now, &packet(&opening(port)));
+        balancer.handle_caller(now, &packet(&syn(port)));
         for _ in 0..20 {
             now += milliseconds(2);
             balancer.handle_timeout(now);
--- a/crates/carried/tests/line.rs
+++ b/crates/carried/tests/line.rs
@@ -135,7 +135,10 @@
             },
             DeclineReason::NotAccepting,
         ),
-        (|agent| agent.take_departure(milliseconds(9), &gone("one")), DeclineReason::NotAccepting),
+        (
+            |agent| agent.take_departure(milliseconds(9), &departed("one")),
+            DeclineReason::NotAccepting,
+        ),
         (|agent| agent.start_draining(milliseconds(9)), DeclineReason::NotAccepting),
         (
             |agent| {
--- a/crates/carried/tests/line_at_balancer.rs
+++ b/crates/carried/tests/line_at_balancer.rs
@@ -64,7 +64,7 @@
 #[test]
 fn a_flow_that_nobody_has_room_for_waits_at_one_agent_and_its_caller_hears_nothing_false() {
     let mut balancer = balancer_with(3);
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let (agent, number, patience) = until_line(&mut balancer, 2);
     assert!((1_250..=1_320).contains(&patience), "{patience} of the 1.4 s of a try");
     let queued = Message::Queued { number, report: load(8) };
@@ -72,7 +72,7 @@
     for at in 3..1_200 {
         balancer.handle_timeout(milliseconds(at));
         if at == 200 || at == 600 {
-            let copy = Segment { acknowledgement: (at / 200 + 1) as u32 / 2, ..opening(1) };
+            let copy = Segment { acknowledgement: (at / 200 + 1) as u32 / 2, ..syn(1) };
             balancer.handle_caller(milliseconds(at), &packet(&copy));
         }
         let outputs = outputs_of(&mut balancer);
@@ -90,7 +90,7 @@
 #[test]
 fn a_flow_that_no_line_takes_is_refused_in_a_round_trip() {
     let mut balancer = balancer_with(3);
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     for at in [2, 3] {
         let (agent, number, _) = until_line(&mut balancer, at);
         let declined = Message::Declined { number, reason: DeclineReason::Busy, report: load(8) };
@@ -102,7 +102,7 @@
 #[test]
 fn a_flow_whose_agent_has_gone_is_offered_to_another_at_the_next_copy() {
     let mut balancer = balancer_with(3);
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let (agent, number, _) = until_line(&mut balancer, 2);
     let queued = Message::Queued { number, report: load(8) };
     balancer.handle_peer(milliseconds(3), agent, &queued.encode());
@@ -113,7 +113,7 @@
         }
     }
     outputs_of(&mut balancer);
-    let copy = Segment { acknowledgement: 2, ..opening(1) };
+    let copy = Segment { acknowledgement: 2, ..syn(1) };
     balancer.handle_caller(milliseconds(1_110), &packet(&copy));
     let next = made(&outputs_of(&mut balancer)).expect("an offer").0;
     assert_ne!(next, agent);
@@ -125,7 +125,7 @@
     tell(&mut balancer, milliseconds(0), 1, load(8));
     tell(&mut balancer, milliseconds(0), 2, failing());
     outputs_of(&mut balancer);
-    let copy = Segment { acknowledgement: 1, ..opening(1) };
+    let copy = Segment { acknowledgement: 1, ..syn(1) };
     balancer.handle_caller(milliseconds(1), &packet(&copy));
     let (agent, number, _) = until_line(&mut balancer, 2);
     assert_eq!(agent, agent_address(1));
@@ -156,7 +156,7 @@
 fn callers_that_asked_before_any_configuration_was_known_are_served_when_it_is() {
     let mut balancer = unconfigured();
     for (at, copy) in [(100, 0), (300, 1), (700, 2)] {
-        let segment = Segment { acknowledgement: copy, ..opening(1) };
+        let segment = Segment { acknowledgement: copy, ..syn(1) };
         balancer.handle_caller(milliseconds(at), &packet(&segment));
         balancer.handle_timeout(milliseconds(at));
     }
@@ -176,8 +176,8 @@
 #[test]
 fn callers_whose_try_is_over_are_not_served_when_a_configuration_comes() {
     let mut balancer = unconfigured();
-    balancer.handle_caller(milliseconds(100), &packet(&opening(1)));
-    balancer.handle_caller(milliseconds(1_400), &packet(&opening(2)));
+    balancer.handle_caller(milliseconds(100), &packet(&syn(1)));
+    balancer.handle_caller(milliseconds(1_400), &packet(&syn(2)));
     configure(&mut balancer, 1_600);
     tell(&mut balancer, milliseconds(1_600), 1, load(0));
     balancer.handle_timeout(milliseconds(1_600));
@@ -187,7 +187,7 @@
 #[test]
 fn a_caller_whose_last_copy_alone_was_heard_is_not_served_when_its_try_is_over() {
     let mut balancer = unconfigured();
-    let copy = Segment { acknowledgement: 2, ..opening(1) };
+    let copy = Segment { acknowledgement: 2, ..syn(1) };
     balancer.handle_caller(milliseconds(100), &packet(&copy));
     // The copy was sent 0.6 s after the first: the try ended 0.8 s later, and the port is free.
     configure(&mut balancer, 1_000);
@@ -199,7 +199,7 @@
 #[test]
 fn many_callers_of_before_a_configuration_are_offered_a_few_at_a_time() {
     let mut balancer = unconfigured();
-    (1..=200).for_each(|port| balancer.handle_caller(milliseconds(100), &packet(&opening(port))));
+    (1..=200).for_each(|port| balancer.handle_caller(milliseconds(100), &packet(&syn(port))));
     configure(&mut balancer, 200);
     (1..=20).for_each(|agent| tell(&mut balancer, milliseconds(200), agent, load(0)));
     let mut most = 0;
@@ -219,7 +219,7 @@
 #[test]
 fn a_balancer_that_hears_no_more_of_a_flow_in_line_forgets_it_and_resets_nobody() {
     let mut balancer = balancer_with(1);
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let (agent, number, _) = until_line(&mut balancer, 2);
     let queued = Message::Queued { number, report: load(8) };
     balancer.handle_peer(milliseconds(3), agent, &queued.encode());
--- a/crates/carried/tests/lookups.rs
+++ b/crates/carried/tests/lookups.rs
@@ -70,7 +70,7 @@
     agent: SocketAddrV4,
     word: FlowStatus,
 ) -> Vec<Output> {
-    balancer.handle_peer(now, agent, &found(1, word).encode());
+    balancer.handle_peer(now, agent, &reply(1, word).encode());
     settle(balancer, now)
 }
 
@@ -136,7 +136,7 @@
         let outputs = answer_all(&mut balancer, milliseconds(at), deny);
         assert_eq!(resets(&outputs), 0, "after {at} ms");
     }
-    let held = found(1, FlowStatus::Owned);
+    let held = reply(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(14_000), silent, &held.encode());
     assert!(!forwarded(&outputs_of(&mut balancer)).is_empty(), "found once it is back");
 }
@@ -170,7 +170,7 @@
     let outputs = answer_all(&mut balancer, milliseconds(4_002), deny);
     assert!(asked(&outputs).contains(&back));
     assert_eq!(resets(&outputs), 0);
-    balancer.handle_peer(milliseconds(4_012), back, &found(1, FlowStatus::Owned).encode());
+    balancer.handle_peer(milliseconds(4_012), back, &reply(1, FlowStatus::Owned).encode());
     assert_eq!(forwarded(&outputs_of(&mut balancer)), [back]);
 }
 
@@ -334,12 +334,12 @@
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     outputs_of(&mut balancer);
     let stranger = address("10.9.9.9:7720");
-    for message in [found(1, FlowStatus::Owned), Message::Ended { flow: flow_named(1) }] {
+    for message in [reply(1, FlowStatus::Owned), Message::Ended { flow: flow_named(1) }] {
         balancer.handle_peer(milliseconds(2), stranger, &message.encode());
         assert_eq!(outputs_of(&mut balancer), []);
     }
     assert_eq!(resets(&say(&mut balancer, milliseconds(2), stranger, FlowStatus::Absent)), 0);
-    balancer.handle_peer(milliseconds(2), agent_address(1), &found(2, FlowStatus::Absent).encode());
+    balancer.handle_peer(milliseconds(2), agent_address(1), &reply(2, FlowStatus::Absent).encode());
     assert_eq!(outputs_of(&mut balancer), []);
     assert_eq!(balancer.counters(milliseconds(2)).answers_unexpected, 4);
 }
@@ -349,7 +349,7 @@
     let mut balancer = acquainted(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     outputs_of(&mut balancer);
-    balancer.handle_caller(milliseconds(2), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
     for agent in 1..=3 {
         let agent = agent_address(agent);
         assert_eq!(resets(&say(&mut balancer, milliseconds(3), agent, FlowStatus::Absent)), 0);
@@ -392,7 +392,7 @@
         balancer.handle_caller(milliseconds(1), part);
     }
     outputs_of(&mut balancer);
-    let held = found(1, FlowStatus::Owned);
+    let held = reply(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(2), agent_address(2), &held.encode());
     let sent: Vec<Vec<u8>> = outputs_of(&mut balancer)
         .into_iter()
@@ -406,7 +406,7 @@
 
 /// The agent that an opening is offered to first.
 fn first_offered(balancer: &mut CarriedBalancer, port: u16) -> SocketAddrV4 {
-    balancer.handle_caller(milliseconds(1), &packet(&opening(port)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(port)));
     offers(&outputs_of(balancer))[0].0
 }
 
@@ -435,7 +435,7 @@
     let list: Vec<_> = (0..3_400).map(|number| (agent(number), NodeRole::Agent)).collect();
     balancer.learn_members(milliseconds(0), &list);
     for (address, _) in &list {
-        hear_load(&mut balancer, milliseconds(0), *address, load());
+        send_load(&mut balancer, milliseconds(0), *address, load());
     }
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
--- a/crates/carried/tests/recovery.rs
+++ b/crates/carried/tests/recovery.rs
@@ -82,7 +82,7 @@
 #[test]
 fn a_flow_that_is_late_goes_to_a_line_and_takes_no_slot_from_one_that_is_not() {
     let mut balancer = balancer();
-    let copy = Segment { acknowledgement: 1, ..opening(1) };
+    let copy = Segment { acknowledgement: 1, ..syn(1) };
     balancer.handle_caller(milliseconds(20), &packet(&copy));
     balancer.handle_timeout(milliseconds(40));
     let (asked, _) = decline_all(&mut balancer, milliseconds(41));
@@ -97,14 +97,14 @@
 /// was reset.
 fn fall_silent(decline_after: u64, has_copy: bool) -> (Duration, Option<Duration>) {
     let mut balancer = balancer();
-    balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
+    balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let (mut last_offer, mut reset_at) = (Duration::ZERO, None);
     let mut declines = Vec::new();
     for at in 1..700 {
         let now = milliseconds(at);
         balancer.handle_timeout(now);
         if at == 201 && has_copy {
-            let copy = Segment { acknowledgement: 1, ..opening(1) };
+            let copy = Segment { acknowledgement: 1, ..syn(1) };
             balancer.handle_caller(now, &packet(&copy));
         }
         for output in outputs_of(&mut balancer) {
@@ -153,7 +153,7 @@
             tell(&mut balancer, now, agent, full());
         }
         balancer.handle_timeout(now);
-        balancer.handle_caller(now, &packet(&opening(port)));
+        balancer.handle_caller(now, &packet(&syn(port)));
         // Full agents are asked for a place in their queue.
         made += decline_all(&mut balancer, now).0.len();
     }
--- a/crates/carried/tests/repair.rs
+++ b/crates/carried/tests/repair.rs
@@ -250,7 +250,7 @@
 fn words_tell_how_long_the_agent_has_run() {
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
-    agent.handle_peer(milliseconds(250), balancer_address(), &find(1, 501));
+    agent.handle_peer(milliseconds(250), balancer_address(), &lookup(1, 501));
     let ages: Vec<u32> = std::iter::from_fn(|| agent.take_output())
         .filter_map(|output| match output {
             Output::ToPeer { message: Message::LookupReply { uptime_ms, .. }, .. } => {
@@ -283,8 +283,8 @@
     }
     assert!(agent.has_ended());
     assert!(milliseconds(at) <= NOBODY_WITHIN, "{at} ms");
-    agent.handle_peer(milliseconds(at), balancer_address(), &find(1, 501));
-    assert!(outputs(&mut agent).contains(&says(1, FlowStatus::Absent)));
+    agent.handle_peer(milliseconds(at), balancer_address(), &lookup(1, 501));
+    assert!(outputs(&mut agent).contains(&replies(1, FlowStatus::Absent)));
     agent.take_report(milliseconds(at + 1), &report("two", 1, true));
     assert!(!agent.has_ended(), "one that starts later is taken");
 }
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -100,11 +100,11 @@
 }
 
 /// A start that tells no birth and is gone.
-pub fn gone(id: &str) -> Incarnation {
+pub fn departed(id: &str) -> Incarnation {
     Incarnation::without_start_time(id)
 }
 
-pub fn opening(port: u16) -> Segment {
+pub fn syn(port: u16) -> Segment {
     Segment { syn: true, sequence: 100, ..Segment::between(caller(port), service_address()) }
 }
 
@@ -132,7 +132,7 @@
 }
 
 pub fn offer_to(service: &str, number: u64, port: u16, admission: Admission) -> Vec<u8> {
-    let datagram = packet(&opening(port));
+    let datagram = packet(&syn(port));
     Message::Offer { number, service: service.to_owned(), admission, datagram }.encode()
 }
 
@@ -167,7 +167,7 @@
 
 /// Has an agent tell a balancer its load.
 pub fn tell(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
-    hear_load(balancer, now, agent_address(agent), report);
+    send_load(balancer, now, agent_address(agent), report);
 }
 
 /// Has an agent of a zone tell a balancer its load.
@@ -192,7 +192,7 @@
         configuration: at(1),
         digest: 0,
         confirmation: None,
-        store_restores: 0,
+        store_recoveries: 0,
         report: Some(report),
         wants_reply: false,
     })
@@ -202,7 +202,7 @@
 pub fn heartbeat_of(
     zone: &str,
     confirmation: Option<Confirmation>,
-    store_restores: u32,
+    store_recoveries: u32,
 ) -> Heartbeat {
     Heartbeat {
         role: NodeRole::Balancer,
@@ -213,14 +213,14 @@
         configuration: at(1),
         digest: 0,
         confirmation,
-        store_restores,
+        store_recoveries,
         report: None,
         wants_reply: false,
     }
 }
 
 /// Has the agent at an address tell a balancer its load.
-pub fn hear_load(
+pub fn send_load(
     balancer: &mut CarriedBalancer,
     now: Duration,
     agent: SocketAddrV4,
@@ -267,7 +267,7 @@
 }
 
 /// The question whether a flow lives at an agent.
-pub fn find(port: u16, acknowledged: u32) -> Vec<u8> {
+pub fn lookup(port: u16, acknowledged: u32) -> Vec<u8> {
     let acknowledged = Some(acknowledged);
     let queries = vec![FlowQuery { flow: flow_named(port), acknowledged }];
     Message::Lookup { queries }.encode()
@@ -278,7 +278,7 @@
 }
 
 /// An agent's word about a flow.
-pub fn found(port: u16, status: FlowStatus) -> Message {
+pub fn reply(port: u16, status: FlowStatus) -> Message {
     Message::LookupReply {
         uptime_ms: 0,
         answers: vec![FlowAnswer { flow: flow_named(port), status }],
@@ -286,8 +286,8 @@
 }
 
 /// An agent's word about a flow, as it goes out.
-pub fn says(port: u16, word: FlowStatus) -> Output {
-    to_balancer(found(port, word))
+pub fn replies(port: u16, word: FlowStatus) -> Output {
+    to_balancer(reply(port, word))
 }
 
 /// Agents that are asked whether a flow lives there.
