--- a/crates/carried/src/segment.rs
+++ b/crates/carried/src/segment.rs
@@ -87,10 +87,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SegmentError {
     /// Shorter than a header, or than the length in its header.
-    #[error("datagram shorter than the packet in it")]
+    #[error("datagram is shorter than its packet header or the length given there")]
     Truncated,
     /// Longer than the length in its header, or than any packet may be.
-    #[error("datagram longer than the packet in it")]
+    #[error("datagram is longer than its packet")]
     Oversized,
 }
 
--- a/crates/carried/tests/evacuation.rs
+++ b/crates/carried/tests/evacuation.rs
@@ -33,13 +33,13 @@
     agent.adopt(milliseconds(1), evacuated(2, &[HOME]));
     outputs(&mut agent);
     agent.handle_peer(milliseconds(2), balancer_address(), &offer(1, 1, Admission::FreeSlot));
-    let made = outputs(&mut agent);
-    assert_eq!(declined(&made), Some(DeclineReason::Evacuated));
-    assert_eq!(sent_to_backend(&made), 0);
+    let sent = outputs(&mut agent);
+    assert_eq!(declined(&sent), Some(DeclineReason::Evacuated));
+    assert_eq!(sent_to_backend(&sent), 0);
 }
 
 #[test]
-fn an_agent_of_another_zone_goes_on() {
+fn an_agent_of_another_zone_keeps_accepting() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(2, &[OTHER, "nowhere"]));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_last_resort_is_none_in_an_evacuated_zone() {
+fn an_agent_of_an_evacuated_zone_declines_a_last_resort_offer() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(2, &[HOME]));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn copies_of_a_held_opening_and_packets_of_open_flows_still_reach_the_back_end() {
+fn retransmitted_syns_and_packets_of_open_flows_still_reach_the_back_end() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.handle_peer(milliseconds(1), balancer_address(), &offer(1, 1, Admission::FreeSlot));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_balancer_offers_nothing_there_whatever_the_agent_says_and_again_after_the_end() {
+fn a_balancer_makes_no_offers_to_an_evacuated_zone_until_the_evacuation_ends() {
     let mut balancer = new_balancer(1);
     tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
     tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
@@ -90,26 +90,27 @@
 }
 
 #[test]
-fn a_service_that_is_evacuated_everywhere_refuses_at_once() {
+fn new_flows_are_refused_at_once_if_all_zones_of_a_service_are_evacuated() {
     let mut balancer = new_balancer(1);
     tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
     tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
     balancer.adopt(milliseconds(1), evacuated(2, &[HOME, OTHER]));
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
-    let made = outputs_of(&mut balancer);
-    assert_eq!(offers(&made), []);
-    assert!(made.iter().any(is_reset), "{made:?}");
-    // Callers go on being told so: another balancer would know no better.
+    let sent = outputs_of(&mut balancer);
+    assert_eq!(offers(&sent), []);
+    assert!(sent.iter().any(is_reset), "{sent:?}");
+    // The balancer stays ready, so that it keeps refusing callers: another balancer could do no
+    // better.
     assert!(balancer.is_ready(milliseconds(2)));
 }
 
 #[test]
-fn an_end_that_a_later_reading_tells_of_is_never_undone_by_an_older_document() {
+fn an_ended_evacuation_is_not_brought_back_by_an_older_document() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(50, &[HOME]));
-    // The removal itself was missed; the reading holds for a later revision.
+    // The removal itself was missed; this read is valid for a later revision.
     assert!(agent.adopt(milliseconds(2), evacuated(130, &[])));
     assert!(!agent.adopt(milliseconds(3), evacuated(50, &[HOME])));
     agent.handle_peer(milliseconds(4), balancer_address(), &offer(1, 1, Admission::FreeSlot));
@@ -117,7 +118,7 @@
 }
 
 #[test]
-fn a_later_reading_of_the_same_is_no_news_and_peers_take_its_revision() {
+fn a_later_read_of_the_same_content_only_raises_the_revision() {
     let mut balancer = new_balancer(1);
     tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
     balancer.handle_timeout(milliseconds(1));
@@ -152,31 +153,31 @@
 }
 
 #[test]
-fn what_was_evacuated_counts_as_cold_until_it_says_otherwise() {
+fn a_back_end_counts_as_cold_after_an_evacuation_until_its_next_heartbeat() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(2, &[HOME]));
     agent.take_report(milliseconds(1_000), &report("one", 2, true));
     agent.adopt(milliseconds(1_001), evacuated(3, &[]));
-    assert!(load_told(&mut agent, 1_002).is_cold);
+    assert!(reported_load(&mut agent, 1_002).is_cold);
     agent.take_report(milliseconds(1_100), &report("one", 3, true));
-    assert!(!load_told(&mut agent, 1_101).is_cold);
+    assert!(!reported_load(&mut agent, 1_101).is_cold);
 }
 
-/// The load that an agent tells with its answer to an offer.
-fn load_told(agent: &mut loftdrift_carried::CarriedAgent, at: u64) -> LoadReport {
+/// The load report that an agent sends with its answer to an offer.
+fn reported_load(agent: &mut loftdrift_carried::CarriedAgent, at: u64) -> LoadReport {
     outputs(agent);
     let wrong = offer_to("another", 1, 1, Admission::FreeSlot);
     agent.handle_peer(milliseconds(at), balancer_address(), &wrong);
-    let told = outputs(agent).into_iter().find_map(|output| match output {
+    let report = outputs(agent).into_iter().find_map(|output| match output {
         Output::ToPeer { message: Message::Declined { report, .. }, .. } => Some(report),
         _ => None,
     });
-    told.expect("an answer")
+    report.expect("the offer was not declined")
 }
 
 #[test]
-fn a_flow_of_a_route_with_regions_is_offered_in_these_only() {
+fn a_flow_of_a_route_with_regions_is_offered_only_there() {
     let mut balancer = new_balancer(1);
     let at_home = RouteTarget { service: SERVICE.to_owned(), weight: 1 };
     let mut bound = route(service_address(), SERVICE);
@@ -208,14 +209,14 @@
     }
 }
 
-/// As `evacuated`, read in the history that follows the store's return from an older copy.
+/// Like `evacuated`, but read in the era that follows the store's restore from an older copy.
 fn restored(revision: u64, zones: &[&str]) -> CarriedConfiguration {
     let mut document = evacuated(revision, zones);
     document.version.position.era = 2;
     document
 }
 
-fn is_taken(agent: &mut loftdrift_carried::CarriedAgent, at: u64, port: u16) -> bool {
+fn is_accepted(agent: &mut loftdrift_carried::CarriedAgent, at: u64, port: u16) -> bool {
     agent.handle_timeout(milliseconds(at));
     outputs(agent);
     let offer = offer(u64::from(port), port, Admission::FreeSlot);
@@ -223,36 +224,36 @@
     sent_to_backend(&outputs(agent)) == 1
 }
 
-/// Users saw: a zone that was evacuated got new flows again while the operator had not ended it. The store
-/// came back from a copy that was older than the evacuation, and balancers and agents took its word until
-/// the operator had written it again.
+/// Guards against new flows in a zone whose evacuation the operator had not ended. The store was
+/// restored from a copy older than the evacuation, and balancers and agents followed it until the
+/// operator had written the evacuation again.
 #[test]
-fn an_evacuation_that_the_store_has_lost_holds_until_it_is_written_again() {
+fn an_evacuation_lost_by_the_store_holds_until_it_is_written_again() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(50, &[HOME]));
     agent.adopt(milliseconds(1_000), restored(40, &[]));
-    assert!(!is_taken(&mut agent, 1_001, 1));
+    assert!(!is_accepted(&mut agent, 1_001, 1));
     agent.adopt(milliseconds(2_500), restored(41, &[HOME]));
-    assert!(!is_taken(&mut agent, 2_501, 2));
-    assert!(!is_taken(&mut agent, 3_500, 3));
+    assert!(!is_accepted(&mut agent, 2_501, 2));
+    assert!(!is_accepted(&mut agent, 3_500, 3));
     agent.adopt(milliseconds(3_600), restored(42, &[]));
-    assert!(is_taken(&mut agent, 3_601, 4));
+    assert!(is_accepted(&mut agent, 3_601, 4));
 }
 
 #[test]
-fn one_that_is_not_written_again_within_two_seconds_is_over() {
+fn a_lost_evacuation_not_written_again_within_two_seconds_ends() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(50, &[HOME]));
     agent.adopt(milliseconds(1_000), restored(40, &[]));
-    assert!(!is_taken(&mut agent, 2_990, 1));
+    assert!(!is_accepted(&mut agent, 2_990, 1));
     assert_eq!(agent.next_timeout().map(|at| at <= milliseconds(3_000)), Some(true));
-    assert!(is_taken(&mut agent, 3_000, 2));
+    assert!(is_accepted(&mut agent, 3_000, 2));
 }
 
 #[test]
-fn a_balancer_offers_nothing_in_a_zone_whose_evacuation_the_store_has_lost() {
+fn a_balancer_makes_no_offers_to_a_zone_whose_evacuation_the_store_has_lost() {
     let mut balancer = new_balancer(1);
     tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
     tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
@@ -272,10 +273,10 @@
 }
 
 #[test]
-fn an_end_in_the_same_history_holds_at_once() {
+fn an_evacuation_ended_in_the_same_era_ends_at_once() {
     let mut agent = agent(true);
     agent.take_report(milliseconds(0), &report("one", 1, true));
     agent.adopt(milliseconds(1), evacuated(50, &[HOME]));
     agent.adopt(milliseconds(1_000), evacuated(51, &[]));
-    assert!(is_taken(&mut agent, 1_001, 1));
+    assert!(is_accepted(&mut agent, 1_001, 1));
 }
--- a/crates/carried/tests/heartbeats.rs
+++ b/crates/carried/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! How often a node speaks to its peers.
+//! Rate and distribution of a node's heartbeats to its peers.
 
 mod support;
 
@@ -15,16 +15,17 @@
     (1..=agents).map(member).collect()
 }
 
-fn fleet(agents: u16) -> CarriedBalancer {
+fn balancer_with_agents(agents: u16) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     balancer.learn_members(milliseconds(0), &members(agents));
     balancer
 }
 
-/// Peers that never speak are spoken to less often after 20 intervals, 60 s at 100 peers.
-const SECONDS: usize = 45;
+/// Stays below the 20 intervals, 60 s with 100 peers, after which silent peers get fewer
+/// heartbeats.
+const TEST_SECONDS: usize = 45;
 
-/// Heartbeats sent in each second of some.
+/// Number of heartbeats sent in each of the next `seconds` seconds.
 fn sent(balancer: &mut CarriedBalancer, seconds: usize) -> Vec<usize> {
     (0..seconds)
         .map(|second| {
@@ -41,15 +42,15 @@
 }
 
 #[test]
-fn after_the_greeting_a_node_speaks_at_a_steady_rate_within_its_budget() {
+fn after_the_first_heartbeats_a_node_sends_at_a_steady_rate_within_its_budget() {
     for agents in [100, 985, 3_859] {
-        let mut balancer = fleet(agents);
-        let seconds = sent(&mut balancer, SECONDS);
-        assert!(seconds[0] >= usize::from(agents), "all are greeted");
+        let mut balancer = balancer_with_agents(agents);
+        let seconds = sent(&mut balancer, TEST_SECONDS);
+        assert!(seconds[0] >= usize::from(agents), "every agent gets a first heartbeat");
         let later = &seconds[1..];
         let mean = later.iter().sum::<usize>() as f64 / later.len() as f64;
-        // 3,300 B a second at 100 B each; a peer's first interval is shorter than the others.
-        assert!(mean <= 33.0 * 1.1, "{agents} agents: {mean} a second");
+        // 3,300 B per second at 100 B each; a peer's first interval is shorter than the others.
+        assert!(mean <= 33.0 * 1.1, "{agents} agents: {mean} per second");
         let most = *later.iter().max().unwrap();
         assert!(most <= 66, "{agents} agents: {most} in one second, {seconds:?}");
         let least = *later.iter().min().unwrap();
@@ -57,8 +58,8 @@
     }
 }
 
-/// Who hears at once that a node has adopted a configuration.
-fn told_at_once(number: u8, agents: u16) -> Vec<SocketAddrV4> {
+/// The peers that a node notifies at once when it has adopted a configuration.
+fn notified_at_once(number: u8, agents: u16) -> Vec<SocketAddrV4> {
     let mut settings = balancer_settings(1);
     settings.node.address = SocketAddrV4::new([10, 1, 0, number].into(), 7720);
     let mut balancer = CarriedBalancer::new(settings, PlainFormat);
@@ -76,17 +77,17 @@
 }
 
 #[test]
-fn balancers_tell_news_to_different_peers_so_that_the_first_few_reach_all() {
+fn balancers_send_news_to_different_peers_so_that_the_first_few_reach_all() {
     for agents in [300, 985] {
         let mut reached = BTreeSet::new();
-        // Those that wait at the store, and as many again who heard it from them.
+        // The nodes that watch the store, and as many again that were notified by them.
         for number in 1..=100 {
-            let told = told_at_once(number, agents);
-            assert!(told.len() <= 40, "{} of {agents}", told.len());
-            reached.extend(told);
+            let notified = notified_at_once(number, agents);
+            assert!(notified.len() <= 40, "{} of {agents}", notified.len());
+            reached.extend(notified);
         }
         let share = reached.len() as f64 / f64::from(agents);
-        // 32 of 985 by each of a hundred leave out (1 - 32/985)^100 = 3.7 %.
+        // With 32 of 985 peers each, a hundred nodes miss (1 - 32/985)^100 = 3.7 %.
         assert!(share >= 0.94, "{agents} agents: {share}");
     }
 }
--- a/crates/carried/tests/late_heartbeats.rs
+++ b/crates/carried/tests/late_heartbeats.rs
@@ -1,12 +1,12 @@
-//! Heartbeats that were held up on their way and come after their sender's crash.
+//! Heartbeats that were delayed in transit and arrive after their sender has crashed.
 
 mod support;
 
 use loftdrift_carried::{Admission, CarriedAgent, ReportOutcome};
 use support::*;
 
-/// Time between two heartbeats of a start that lives.
-const BEAT: u64 = 1_200;
+/// Milliseconds between two heartbeats of a live start.
+const PERIOD_MS: u64 = 1_200;
 
 fn takes_flows(agent: &mut CarriedAgent, now: u64, port: u16) -> bool {
     let offer = offer(u64::from(port), port, Admission::FreeSlot);
@@ -14,7 +14,8 @@
     sent_to_backend(&outputs(agent)) == 1
 }
 
-fn beat(
+/// Has the agent receive a heartbeat of its back end.
+fn receive(
     agent: &mut CarriedAgent,
     now: u64,
     id: &str,
@@ -25,75 +26,78 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_a_start_that_this_process_never_saw_retires_nobody() {
+fn a_late_heartbeat_of_an_unknown_start_does_not_replace_the_live_one() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "living", 5, true);
-    assert_eq!(beat(&mut agent, 400, "crashed", 37, true), ReportOutcome::Doubted);
+    receive(&mut agent, 10, "living", 5, true);
+    assert_eq!(receive(&mut agent, 400, "crashed", 37, true), ReportOutcome::Doubted);
     for round in 1..=3 {
-        let outcome = beat(&mut agent, 10 + round * BEAT, "living", 5 + round, true);
-        assert_eq!(outcome, ReportOutcome::Updated, "the living one's word goes on counting");
+        let outcome = receive(&mut agent, 10 + round * PERIOD_MS, "living", 5 + round, true);
+        assert_eq!(outcome, ReportOutcome::Updated, "heartbeats of the live start still count");
     }
     assert!(takes_flows(&mut agent, 4_000, 1));
 }
 
 #[test]
-fn one_that_comes_before_the_living_start_is_heard_is_put_right_within_two_heartbeats() {
+fn a_late_heartbeat_taken_for_the_live_start_is_corrected_within_two_heartbeats() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "crashed", 37, true);
-    assert_eq!(beat(&mut agent, 300, "living", 5, true), ReportOutcome::Doubted);
-    assert_eq!(beat(&mut agent, 300 + BEAT, "living", 6, true), ReportOutcome::Started);
-    assert_eq!(beat(&mut agent, 300 + 2 * BEAT, "living", 7, true), ReportOutcome::Updated);
+    receive(&mut agent, 10, "crashed", 37, true);
+    assert_eq!(receive(&mut agent, 300, "living", 5, true), ReportOutcome::Doubted);
+    assert_eq!(receive(&mut agent, 300 + PERIOD_MS, "living", 6, true), ReportOutcome::Started);
+    assert_eq!(receive(&mut agent, 300 + 2 * PERIOD_MS, "living", 7, true), ReportOutcome::Updated);
 }
 
 #[test]
-fn several_that_were_held_up_together_are_believed_no_more_than_one() {
+fn several_heartbeats_delayed_together_count_no_more_than_one() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "living", 5, true);
+    receive(&mut agent, 10, "living", 5, true);
     for (at, sequence) in [(400, 36), (410, 37), (430, 38)] {
-        assert_eq!(beat(&mut agent, at, "crashed", sequence, true), ReportOutcome::Doubted);
+        assert_eq!(receive(&mut agent, at, "crashed", sequence, true), ReportOutcome::Doubted);
     }
-    assert_eq!(beat(&mut agent, 10 + BEAT, "living", 6, true), ReportOutcome::Updated);
+    assert_eq!(receive(&mut agent, 10 + PERIOD_MS, "living", 6, true), ReportOutcome::Updated);
 }
 
 #[test]
-fn the_late_first_heartbeat_of_a_start_that_crashed_at_once_retires_the_living_one_for_two_at_most()
-{
+fn a_late_first_heartbeat_of_a_crashed_start_replaces_the_live_one_for_two_heartbeats_at_most() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "living", 5, true);
-    beat(&mut agent, 400, "crashed", 1, true);
-    beat(&mut agent, 10 + BEAT, "living", 6, true);
-    assert_eq!(beat(&mut agent, 10 + 2 * BEAT, "living", 7, true), ReportOutcome::Started);
-    assert_eq!(beat(&mut agent, 10 + 3 * BEAT, "living", 8, true), ReportOutcome::Updated);
+    receive(&mut agent, 10, "living", 5, true);
+    receive(&mut agent, 400, "crashed", 1, true);
+    receive(&mut agent, 10 + PERIOD_MS, "living", 6, true);
+    assert_eq!(receive(&mut agent, 10 + 2 * PERIOD_MS, "living", 7, true), ReportOutcome::Started);
+    assert_eq!(receive(&mut agent, 10 + 3 * PERIOD_MS, "living", 8, true), ReportOutcome::Updated);
 }
 
 #[test]
-fn no_late_heartbeat_ends_the_leave_of_a_start_that_lives() {
+fn no_late_heartbeat_cancels_the_leaving_of_a_live_start() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "leaving", 5, false);
+    receive(&mut agent, 10, "leaving", 5, false);
     for (at, id, sequence) in [(20, "crashed", 37), (30, "other", 1)] {
-        assert_eq!(beat(&mut agent, at, id, sequence, true), ReportOutcome::Doubted);
+        assert_eq!(receive(&mut agent, at, id, sequence, true), ReportOutcome::Doubted);
         assert!(!takes_flows(&mut agent, at, 1), "{id}");
     }
 }
 
 #[test]
-fn a_start_that_says_that_it_leaves_gets_nothing_new_though_it_is_doubted() {
+fn a_start_that_reports_leaving_gets_no_new_flows_even_while_doubted() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "crashed", 37, true);
+    receive(&mut agent, 10, "crashed", 37, true);
     assert!(takes_flows(&mut agent, 11, 1));
-    beat(&mut agent, 300, "leaving", 5, false);
-    assert!(!takes_flows(&mut agent, 301, 2), "at once, not a heartbeat later");
+    receive(&mut agent, 300, "leaving", 5, false);
+    assert!(!takes_flows(&mut agent, 301, 2), "at once, not one heartbeat later");
 }
 
 #[test]
-fn a_new_start_is_taken_at_its_first_heartbeat() {
+fn a_new_start_is_accepted_at_its_first_heartbeat() {
     let mut agent = agent(false);
-    beat(&mut agent, 10, "first", 40, true);
-    assert_eq!(beat(&mut agent, 2_000, "second", 1, true), ReportOutcome::Started);
-    // After a planned end too.
-    beat(&mut agent, 3_000, "second", 2, false);
+    receive(&mut agent, 10, "first", 40, true);
+    assert_eq!(receive(&mut agent, 2_000, "second", 1, true), ReportOutcome::Started);
+    // The same holds after a planned shutdown.
+    receive(&mut agent, 3_000, "second", 2, false);
     agent.take_departure(milliseconds(8_000), &departed("second"));
-    assert_eq!(beat(&mut agent, 8_500, "third", 1, true), ReportOutcome::Started);
-    assert_eq!(beat(&mut agent, 8_600, "second", 3, true), ReportOutcome::Outdated, "it is gone");
+    assert_eq!(receive(&mut agent, 8_500, "third", 1, true), ReportOutcome::Started);
+    assert_eq!(
+        receive(&mut agent, 8_600, "second", 3, true),
+        ReportOutcome::Outdated,
+        "it has departed"
+    );
     assert!(takes_flows(&mut agent, 8_700, 1));
 }
--- a/crates/carried/tests/restored_store.rs
+++ b/crates/carried/tests/restored_store.rs
@@ -1,5 +1,5 @@
-//! The shared store comes back from an older copy and gives revisions out again: which document of the
-//! operators is in force then.
+//! The shared store is restored from an older copy and reuses revisions. Guards against a node that
+//! then adopts the wrong one of the operators' documents.
 
 mod support;
 
@@ -11,7 +11,8 @@
 
 const ZONE: &str = "z";
 
-/// A document with the operator's number `number`, read at a place; its idle time-out tells it apart.
+/// A document with the operator's number `number`, read at a position; its idle timeout identifies
+/// it.
 fn document(number: u64, era: u64, revision: u64) -> CarriedConfiguration {
     let version = Version { number, position: Position { era, revision } };
     let routes = vec![route(service_address(), SERVICE)];
@@ -23,14 +24,14 @@
     CarriedConfiguration { evacuated: BTreeSet::from([zone.to_owned()]), ..document }
 }
 
-fn knowing_nothing(seed: u64) -> CarriedBalancer {
+fn empty_balancer(seed: u64) -> CarriedBalancer {
     CarriedBalancer::new(balancer_settings(seed), PlainFormat)
 }
 
-/// What is in force after these documents were offered one after the other.
-fn after(offered: &[CarriedConfiguration]) -> CarriedConfiguration {
-    let mut balancer = knowing_nothing(1);
-    for document in offered {
+/// The configuration in force after these documents were received in order.
+fn in_force_after(received: &[CarriedConfiguration]) -> CarriedConfiguration {
+    let mut balancer = empty_balancer(1);
+    for document in received {
         balancer.adopt(milliseconds(0), document.clone());
     }
     in_force(&balancer)
@@ -41,56 +42,56 @@
 }
 
 #[test]
-fn a_change_under_a_revision_that_is_given_out_again_is_taken() {
+fn a_change_under_a_reused_revision_is_adopted() {
     let change = document(26, 2, 21);
-    assert_eq!(after(&[document(24, 1, 24), change.clone()]), change);
+    assert_eq!(in_force_after(&[document(24, 1, 24), change.clone()]), change);
 }
 
 #[test]
-fn the_copys_older_configuration_takes_nothing_back() {
-    let kept = after(&[document(24, 1, 24), document(20, 2, 90)]);
+fn the_older_configuration_of_a_restored_copy_is_not_adopted() {
+    let kept = in_force_after(&[document(24, 1, 24), document(20, 2, 90)]);
     assert_eq!(kept, CarriedConfiguration { version: document(24, 2, 90).version, ..kept.clone() });
     assert_eq!(kept.idle_timeout_ms, document(24, 1, 24).idle_timeout_ms);
 }
 
 #[test]
-fn an_answer_from_before_the_return_that_comes_late_changes_nothing() {
+fn a_late_answer_from_before_the_restore_is_ignored() {
     let newest = document(26, 2, 21);
-    assert_eq!(after(&[newest.clone(), document(24, 1, 24)]), newest);
+    assert_eq!(in_force_after(&[newest.clone(), document(24, 1, 24)]), newest);
     let end = document(26, 2, 22);
     let late = evacuating(ZONE, document(26, 1, 30));
-    assert_eq!(after(&[end.clone(), late]), end);
+    assert_eq!(in_force_after(&[end.clone(), late]), end);
 }
 
 #[test]
-fn two_returns_one_after_the_other_are_two_histories() {
+fn two_restores_in_a_row_start_two_eras() {
     let last = document(30, 3, 12);
     let offered = [document(24, 1, 24), document(26, 2, 21), document(28, 2, 22), last.clone()];
-    assert_eq!(after(&offered), last);
+    assert_eq!(in_force_after(&offered), last);
 }
 
 #[test]
-fn an_answer_that_may_be_old_is_used_until_a_certain_one_comes_and_never_after() {
+fn a_possibly_stale_answer_is_used_only_until_a_certain_one_arrives() {
     let old = evacuating(ZONE, document(24, 0, 24));
-    assert_eq!(after(std::slice::from_ref(&old)), old);
+    assert_eq!(in_force_after(std::slice::from_ref(&old)), old);
     let certain = document(24, 1, 20);
-    assert_eq!(after(&[old.clone(), certain.clone()]), certain);
-    assert_eq!(after(&[certain.clone(), old]), certain);
+    assert_eq!(in_force_after(&[old.clone(), certain.clone()]), certain);
+    assert_eq!(in_force_after(&[certain.clone(), old]), certain);
 }
 
 #[test]
-fn without_numbers_the_later_place_counts() {
+fn without_operator_numbers_the_later_position_wins() {
     let unnumbered = |era, revision, idle_timeout_ms| CarriedConfiguration {
         idle_timeout_ms,
         ..document(0, era, revision)
     };
     let later = unnumbered(2, 3, 7_000);
-    assert_eq!(after(&[unnumbered(1, 9, 5_000), later.clone()]), later);
-    assert_eq!(after(&[later.clone(), unnumbered(2, 2, 5_000)]), later);
+    assert_eq!(in_force_after(&[unnumbered(1, 9, 5_000), later.clone()]), later);
+    assert_eq!(in_force_after(&[later.clone(), unnumbered(2, 2, 5_000)]), later);
 }
 
 #[test]
-fn joining_documents_forgets_the_order_in_which_they_came() {
+fn joining_documents_does_not_depend_on_their_order() {
     check_fixed_seeds(|input| {
         let history = History::play(input)?;
         let read = &history.read;
@@ -119,9 +120,9 @@
     }
 }
 
-/// A store that goes back now and then, its operator, and what readings of it found.
+/// A store that is restored from older copies now and then, its operator, and the documents read.
 struct History {
-    held: CarriedConfiguration,
+    stored: CarriedConfiguration,
     wanted: CarriedConfiguration,
     copies: Vec<CarriedConfiguration>,
     read: Vec<CarriedConfiguration>,
@@ -130,7 +131,7 @@
 impl History {
     fn new() -> Self {
         let first = document(1, 1, 1);
-        History { held: first.clone(), wanted: first, copies: Vec::new(), read: Vec::new() }
+        History { stored: first.clone(), wanted: first, copies: Vec::new(), read: Vec::new() }
     }
 
     fn play(input: &mut Unstructured<'_>) -> Result<Self> {
@@ -155,66 +156,66 @@
                 }
                 self.write();
             }
-            2 => self.copies.push(self.held.clone()),
-            3 => self.come_back(),
+            2 => self.copies.push(self.stored.clone()),
+            3 => self.restore_copy(),
             4 => self.write(),
-            // Somebody else writes.
-            5 => self.held.version.position.revision += 1,
-            // An answer that may be old.
+            // Another client writes.
+            5 => self.stored.version.position.revision += 1,
+            // A read that may be stale.
             6 => {
-                let mut old = self.held.clone();
+                let mut old = self.stored.clone();
                 old.version.position.era = 0;
                 self.read.push(old);
             }
-            _ => self.read.push(self.held.clone()),
+            _ => self.read.push(self.stored.clone()),
         }
         Ok(())
     }
 
-    /// The operator writes all that it wants.
+    /// The operator writes its complete document.
     fn write(&mut self) {
-        let Position { era, revision } = self.held.version.position;
-        self.held = self.wanted.clone();
-        self.held.version.position = Position { era, revision: revision + 1 };
+        let Position { era, revision } = self.stored.version.position;
+        self.stored = self.wanted.clone();
+        self.stored.version.position = Position { era, revision: revision + 1 };
     }
 
-    fn come_back(&mut self) {
-        let era = self.held.version.position.era;
+    fn restore_copy(&mut self) {
+        let era = self.stored.version.position.era;
         let Some(copy) = self.copies.pop() else { return };
-        self.held = copy;
-        self.held.version.position.era = era + 1;
+        self.stored = copy;
+        self.stored.version.position.era = era + 1;
     }
 }
 
 const NODES: usize = 12;
 
-/// Nodes that read the store or one another at any moment, through any returns of the store: none ever
+/// Nodes read the store or one another at any time, through any number of restores. No node ever
 /// goes back to an earlier configuration, and all agree with the operator once it has written and
-/// each has heard of it.
+/// each has received the document.
 #[test]
-fn through_any_returns_no_node_goes_back_and_all_agree_in_the_end() {
+fn through_any_restores_no_node_goes_back_and_all_agree_in_the_end() {
     check_fixed_seeds(|input| {
         let mut history = History::new();
         let mut nodes: Vec<CarriedBalancer> =
-            (0..NODES).map(|seed| knowing_nothing(seed as u64)).collect();
+            (0..NODES).map(|seed| empty_balancer(seed as u64)).collect();
         while !input.is_empty() {
             history.step(input)?;
             let node = input.choose_index(NODES)?;
             let before = nodes[node].configuration_version();
-            let heard = match input.int_in_range(0..=2)? {
-                0 => history.held.clone(),
-                1 => pick(input, &history.read)?.unwrap_or_else(|| history.held.clone()),
+            let received = match input.int_in_range(0..=2)? {
+                0 => history.stored.clone(),
+                1 => pick(input, &history.read)?.unwrap_or_else(|| history.stored.clone()),
                 _ => in_force(&nodes[input.choose_index(NODES)?]),
             };
-            nodes[node].adopt(milliseconds(0), heard);
+            nodes[node].adopt(milliseconds(0), received);
             assert!(nodes[node].configuration_version().covers(&before));
         }
         history.write();
-        nodes[0].adopt(milliseconds(0), history.held.clone());
+        nodes[0].adopt(milliseconds(0), history.stored.clone());
         for node in 1..NODES {
-            let heard = in_force(&nodes[node - 1]);
-            nodes[node].adopt(milliseconds(0), heard);
-            assert_eq!(in_force(&nodes[node]), history.held);
+            let received = in_force(&nodes[node - 1]);
+            nodes[node].adopt(milliseconds(0), received);
+            assert_eq!(in_force(&nodes[node]), history.stored);
         }
         Ok(())
     });
--- a/crates/carried/tests/stale_input.rs
+++ b/crates/carried/tests/stale_input.rs
@@ -1,4 +1,4 @@
-//! Opening packets that have waited in a socket of a process that stood still or ran late.
+//! SYNs that have waited in the socket of a process that stalled or had a high scheduling delay.
 
 mod support;
 
@@ -7,7 +7,7 @@
 };
 use support::*;
 
-/// A balancer with one agent that takes new flows.
+/// A balancer with one agent that accepts new flows.
 fn balancer() -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     let condition = BackendCondition::Accepting;
@@ -18,44 +18,48 @@
     balancer
 }
 
-fn receive_copy(balancer: &mut CarriedBalancer, copy: u32, waited: u64) -> Vec<Output> {
+fn receive_syn(balancer: &mut CarriedBalancer, number: u32, waited: u64) -> Vec<Output> {
     balancer.note_input_waited(milliseconds(waited));
-    let opening = Segment { acknowledgement: copy, ..syn(1) };
-    balancer.handle_caller(milliseconds(1_000), &packet(&opening));
+    let segment = Segment { acknowledgement: number, ..syn(1) };
+    balancer.handle_caller(milliseconds(1_000), &packet(&segment));
     outputs_of(balancer)
 }
 
 #[test]
-fn a_copy_is_passed_over_once_its_caller_has_sent_the_next() {
-    for (copy, in_time, late) in [(0, 150, 170), (1, 350, 370), (2, 690, 710)] {
-        assert_eq!(offers(&receive_copy(&mut balancer(), copy, in_time)).len(), 1, "copy {copy}");
+fn a_syn_is_ignored_once_its_caller_has_sent_the_next_retransmission() {
+    for (number, in_time, late) in [(0, 150, 170), (1, 350, 370), (2, 690, 710)] {
+        assert_eq!(
+            offers(&receive_syn(&mut balancer(), number, in_time)).len(),
+            1,
+            "retransmission {number}"
+        );
         let mut balancer = balancer();
-        assert_eq!(receive_copy(&mut balancer, copy, late), [], "copy {copy}");
+        assert_eq!(receive_syn(&mut balancer, number, late), [], "retransmission {number}");
         assert_eq!(balancer.counters(milliseconds(1_000)).openings_stale, 1);
     }
 }
 
 #[test]
-fn an_old_copy_does_not_end_the_flow_that_uses_its_port_now() {
+fn an_old_syn_does_not_end_the_flow_that_now_uses_its_port() {
     let mut balancer = balancer();
-    let made = offers(&receive_copy(&mut balancer, 0, 0));
+    let made = offers(&receive_syn(&mut balancer, 0, 0));
     let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
     let placed = Message::Placed { number: made[0].1, report };
     balancer.handle_peer(milliseconds(1_001), made[0].0, &placed.encode());
-    assert_eq!(receive_copy(&mut balancer, 0, 3_000), [], "of an earlier flow");
+    assert_eq!(receive_syn(&mut balancer, 0, 3_000), [], "the SYN of an earlier flow is ignored");
     balancer.handle_caller(milliseconds(1_002), &packet(&data(1, 101, 500)));
     let forwarded = outputs_of(&mut balancer)
         .into_iter()
         .any(|output| matches!(output, Output::ToPeer { message: Message::Forward { .. }, .. }));
-    assert!(forwarded, "the flow goes on");
+    assert!(forwarded, "packets of the open flow are forwarded");
 }
 
 #[test]
-fn a_caller_is_not_reset_for_a_packet_that_may_be_as_old_as_its_next_copy() {
+fn a_caller_is_not_reset_for_a_syn_that_it_may_have_retransmitted() {
     let mut balancer = new_balancer(1);
     balancer.note_input_waited(milliseconds(150));
     balancer.handle_caller(milliseconds(1_000), &packet(&syn(1)));
-    // Nobody is there to ask; by the time that is given up the next copy has gone out.
+    // There is no agent to ask; when the balancer gives up, the next retransmission has been sent.
     let resets = (1_000..1_400).flat_map(|at| {
         balancer.handle_timeout(milliseconds(at));
         outputs_of(&mut balancer)
@@ -65,17 +69,21 @@
 }
 
 #[test]
-fn what_comes_after_a_pause_was_read_has_not_waited() {
+fn input_that_arrives_after_a_pause_was_handled_has_not_waited() {
     let mut age = InputAge::default();
     assert_eq!(age.waited(milliseconds(500)), milliseconds(0));
     age.note_pause(milliseconds(500));
-    assert_eq!(age.waited(milliseconds(900)), milliseconds(400), "it may have come at any moment");
+    assert_eq!(
+        age.waited(milliseconds(900)),
+        milliseconds(400),
+        "it may have arrived at any time in the pause"
+    );
     age.note_batch(milliseconds(900), true);
-    assert_eq!(age.waited(milliseconds(4_000)), milliseconds(0), "it came just now");
+    assert_eq!(age.waited(milliseconds(4_000)), milliseconds(0), "it arrived just now");
 }
 
 #[test]
-fn what_was_left_in_a_socket_has_waited_since_the_batch_before_began() {
+fn input_left_in_a_socket_has_waited_since_the_previous_batch_began() {
     let mut age = InputAge::default();
     age.note_batch(milliseconds(100), false);
     age.note_batch(milliseconds(160), false);
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! One agent with its back end and a balancer's messages, played by hand.
+//! Test fixtures: drives one agent with its back end, or one balancer, by hand-written messages.
 #![allow(dead_code, missing_docs)]
 
 use loftdrift_carried::{
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 pub const SERVICE: &str = "tiles";
-/// The shortest of the users.
+/// The shortest bound on the age of a configuration that users set.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
 pub fn milliseconds(count: u64) -> Duration {
@@ -55,7 +55,7 @@
     Route { address, targets, target_latency_ms: 250, priority: 1, regions: Vec::new() }
 }
 
-/// The version of what was read at a revision of a store that has never gone back.
+/// Version read at a revision of a store that was never restored from an older copy.
 pub fn at(revision: u64) -> Version {
     Version { number: 0, position: Position { era: 1, revision } }
 }
@@ -99,7 +99,7 @@
     }
 }
 
-/// A start that tells no birth and is gone.
+/// The start named in a departure notice, without a start time.
 pub fn departed(id: &str) -> Incarnation {
     Incarnation::without_start_time(id)
 }
@@ -136,15 +136,16 @@
     Message::Offer { number, service: service.to_owned(), admission, datagram }.encode()
 }
 
-/// What an agent does; its age stands as 0 in its words, and a test of its own checks it.
+/// Takes an agent's outputs. The uptime in its lookup replies is set to 0; a separate test checks
+/// it.
 pub fn outputs(agent: &mut CarriedAgent) -> Vec<Output> {
-    let ageless = |output| match output {
+    let without_uptime = |output| match output {
         Output::ToPeer { to, message: Message::LookupReply { answers, .. } } => {
             Output::ToPeer { to, message: Message::LookupReply { uptime_ms: 0, answers } }
         }
         output => output,
     };
-    std::iter::from_fn(|| agent.take_output()).map(ageless).collect()
+    std::iter::from_fn(|| agent.take_output()).map(without_uptime).collect()
 }
 
 pub fn declined(outputs: &[Output]) -> Option<DeclineReason> {
@@ -158,19 +159,20 @@
     outputs.iter().filter(|output| matches!(output, Output::ToBackend(_))).count()
 }
 
-/// Opens a flow at the agent: offered, answered by the back end with sequence number `sequence`.
+/// Opens a flow at the agent: it is offered, and the back end answers with sequence number
+/// `sequence`.
 pub fn open(agent: &mut CarriedAgent, now: Duration, port: u16, sequence: u32) {
     agent.handle_peer(now, balancer_address(), &offer(u64::from(port), port, Admission::FreeSlot));
     let syn_ack = Segment { syn: true, ..answer(port, sequence) };
     agent.handle_backend(now, packet(&syn_ack));
 }
 
-/// Has an agent tell a balancer its load.
+/// Sends a balancer the load report of an agent in zone `a`.
 pub fn tell(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
     send_load(balancer, now, agent_address(agent), report);
 }
 
-/// Has an agent of a zone tell a balancer its load.
+/// Sends a balancer the load report of an agent in a given zone.
 pub fn tell_from_zone(
     balancer: &mut CarriedBalancer,
     now: Duration,
@@ -198,7 +200,7 @@
     })
 }
 
-/// What a balancer of a zone says of itself and of the store.
+/// Heartbeat of a balancer in a given zone, with its view of the store.
 pub fn heartbeat_of(
     zone: &str,
     confirmation: Option<Confirmation>,
@@ -219,7 +221,7 @@
     }
 }
 
-/// Has the agent at an address tell a balancer its load.
+/// Sends a balancer the load report of the agent at an address, in zone `a`.
 pub fn send_load(
     balancer: &mut CarriedBalancer,
     now: Duration,
@@ -254,7 +256,7 @@
     }
 }
 
-/// A balancer that knows nobody and has a route to [`SERVICE`].
+/// A balancer that knows no other node and has a route to [`SERVICE`].
 pub fn new_balancer(seed: u64) -> CarriedBalancer {
     let mut balancer = CarriedBalancer::new(balancer_settings(seed), PlainFormat);
     balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
@@ -266,7 +268,7 @@
     FlowName { caller: caller(port), service: service_address() }
 }
 
-/// The question whether a flow lives at an agent.
+/// Lookup message that asks whether an agent owns a flow.
 pub fn lookup(port: u16, acknowledged: u32) -> Vec<u8> {
     let acknowledged = Some(acknowledged);
     let queries = vec![FlowQuery { flow: flow_named(port), acknowledged }];
@@ -277,7 +279,7 @@
     Output::ToPeer { to: balancer_address(), message }
 }
 
-/// An agent's word about a flow.
+/// An agent's lookup reply about one flow.
 pub fn reply(port: u16, status: FlowStatus) -> Message {
     Message::LookupReply {
         uptime_ms: 0,
@@ -285,12 +287,12 @@
     }
 }
 
-/// An agent's word about a flow, as it goes out.
-pub fn replies(port: u16, word: FlowStatus) -> Output {
-    to_balancer(reply(port, word))
+/// Output that sends a balancer an agent's lookup reply about one flow.
+pub fn replies(port: u16, status: FlowStatus) -> Output {
+    to_balancer(reply(port, status))
 }
 
-/// Agents that are asked whether a flow lives there.
+/// The agents that are asked whether they own a flow.
 pub fn asked(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let asked = outputs.iter().filter_map(|output| match output {
         Output::ToPeer { to, message: Message::Lookup { .. } } => Some(*to),
@@ -299,7 +301,7 @@
     asked.collect()
 }
 
-/// Agents whose back end is to tell.
+/// The agents that get a packet on trial, for their back ends to decide whose flow it is.
 pub fn tried(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let tried = outputs.iter().filter_map(|output| match output {
         Output::ToPeer { to, message: Message::TryForward { .. } } => Some(*to),
@@ -308,7 +310,7 @@
     tried.collect()
 }
 
-/// Callers that are told that their flow is over.
+/// Number of callers that are reset.
 pub fn resets(outputs: &[Output]) -> usize {
     outputs.iter().filter(|output| matches!(output, Output::ToCaller { .. })).count()
 }
