--- a/crates/bench/benches/carried.rs
+++ b/crates/bench/benches/carried.rs
@@ -71,7 +71,7 @@
             is_cold: false,
             cold_allowance: None,
             backend_age_ms: None,
-            memory: FlowKnowledge::Complete,
+            flow_knowledge: FlowKnowledge::Complete,
             uptime_ms: None,
         }),
         wants_reply: false,
--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -87,7 +87,7 @@
             is_cold: self.is_cold(now),
             cold_allowance: self.cold_room(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
             backend_age_ms: begun_at.map(|at| up_ms(now.saturating_sub(at))),
-            memory: self.memory(now),
+            flow_knowledge: self.memory(now),
             uptime_ms: is_young.then(|| up_ms(now)),
         }
     }
--- a/crates/carried/src/message.rs
+++ b/crates/carried/src/message.rs
@@ -87,7 +87,7 @@
     /// young.
     pub backend_age_ms: Option<u32>,
     /// Whether the agent knows all flows of its back end.
-    pub memory: FlowKnowledge,
+    pub flow_knowledge: FlowKnowledge,
     /// Milliseconds since the agent process started; `None` once it has run for as long as a flow
     /// lasts. Balancers use it to detect that all processes started together.
     pub uptime_ms: Option<u32>,
--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -214,7 +214,7 @@
 
     /// Which flows of its back end it knows, as it says itself.
     pub(crate) fn memory(&self) -> FlowKnowledge {
-        self.report.memory
+        self.report.flow_knowledge
     }
 
     /// Whether it has heard of a back end that lives.
--- a/crates/carried/tests/balancer.rs
+++ b/crates/carried/tests/balancer.rs
@@ -22,7 +22,7 @@
         is_cold: false,
         cold_allowance: None,
         backend_age_ms: None,
-        memory: FlowKnowledge::Complete,
+        flow_knowledge: FlowKnowledge::Complete,
         uptime_ms: None,
     }
 }
--- a/crates/carried/tests/repair.rs
+++ b/crates/carried/tests/repair.rs
@@ -11,12 +11,12 @@
 
 const AGENTS: u8 = 20;
 
-fn load(memory: FlowKnowledge, up_ms: u32) -> LoadReport {
+fn load(flow_knowledge: FlowKnowledge, up_ms: u32) -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
         capacity: 4,
-        memory,
+        flow_knowledge,
         uptime_ms: Some(up_ms),
         ..LoadReport::default()
     }
@@ -229,7 +229,7 @@
     });
     let report = report.expect("an offer of another service is declined");
     assert_eq!(report.uptime_ms, Some(started_ms as u32));
-    report.memory
+    report.flow_knowledge
 }
 
 #[test]
