--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -20,7 +20,7 @@
 
     /// When the condition changes by itself: a silence or a rest is over.
     pub(super) fn condition_changes_at(&self) -> Option<Duration> {
-        [self.silent_until, self.breaker.rests_until()].into_iter().flatten().min()
+        [self.silent_until, self.breaker.open_until()].into_iter().flatten().min()
     }
 
     pub(super) fn condition(&self, now: Duration) -> BackendCondition {
--- a/crates/carried/src/agent/line.rs
+++ b/crates/carried/src/agent/line.rs
@@ -257,7 +257,7 @@
                 continue;
             }
             self.line.note_served(now);
-            self.latency.line.observe(now.saturating_sub(entry.joined_at));
+            self.latency.wait_queue.observe(now.saturating_sub(entry.joined_at));
             self.take_flow(now, entry);
         }
     }
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -276,7 +276,7 @@
         }
         if self.condition_changes_at().is_some_and(|at| at <= now) {
             self.silent_until = self.silent_until.filter(|until| now < *until);
-            self.breaker.wake(now);
+            self.breaker.advance(now);
             self.tell_change(now, "rested");
         }
         let was_evacuated = self.is_evacuated();
--- a/crates/carried/src/agent/outcomes.rs
+++ b/crates/carried/src/agent/outcomes.rs
@@ -72,7 +72,7 @@
         match self.breaker.state(now) {
             BreakerState::Closed => None,
             BreakerState::Open => Some(0),
-            BreakerState::Trial => Some(1),
+            BreakerState::HalfOpen => Some(1),
         }
     }
 }
--- a/crates/carried/src/agent/reports.rs
+++ b/crates/carried/src/agent/reports.rs
@@ -19,7 +19,7 @@
         self.counters.backend_reports += 1;
         let is_first = !self.backend.has_reported();
         let outcome = self.backend.take_report(now, report);
-        if outcome == ReportOutcome::Foreign {
+        if outcome == ReportOutcome::OtherService {
             self.note_foreign(report);
             return outcome;
         }
@@ -47,13 +47,13 @@
                 self.doubt_flows(now);
             }
             ReportOutcome::Outdated => self.counters.backend_reports_outdated += 1,
-            ReportOutcome::Doubted => {
+            ReportOutcome::Unconfirmed => {
                 self.counters.backend_reports_doubted += 1;
                 log::info!(
                     backend:% = report.incarnation, sequence = report.sequence; "backend_doubted"
                 );
             }
-            ReportOutcome::Updated | ReportOutcome::Foreign => {}
+            ReportOutcome::Updated | ReportOutcome::OtherService => {}
         }
         if matches!(outcome, ReportOutcome::Started | ReportOutcome::Updated) {
             self.silent_until = None;
--- a/crates/carried/src/backend.rs
+++ b/crates/carried/src/backend.rs
@@ -47,9 +47,9 @@
     Outdated,
     /// Of another start than the known one, which may have been over for long: believed once it is
     /// repeated.
-    Doubted,
+    Unconfirmed,
     /// Of a back end of another service than the one beside this agent: it names none to use.
-    Foreign,
+    OtherService,
 }
 
 /// What is known of the back end.
@@ -68,9 +68,9 @@
     service: String,
     known: Option<Known>,
     /// A start under another id that has spoken since the known one did last.
-    doubted: Option<Doubted>,
+    doubted: Option<Unconfirmed>,
     /// A start under the known one's id, born before it, that goes on speaking.
-    backdated: Option<Doubted>,
+    backdated: Option<Unconfirmed>,
     /// The back end called itself healthy when it was asked at the agent's start.
     found_healthy: bool,
     /// Starts that were known before: a heartbeat of theirs is late, or the known one's was.
@@ -93,7 +93,7 @@
 
 /// A start that is believed when it speaks again.
 #[derive(Debug)]
-struct Doubted {
+struct Unconfirmed {
     incarnation: Incarnation,
     sequence: u64,
     since: Duration,
@@ -126,7 +126,7 @@
 
     pub(crate) fn take_report(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
         if report.service != self.service {
-            return ReportOutcome::Foreign;
+            return ReportOutcome::OtherService;
         }
         if self.departed.iter().any(|gone| is_over(report, gone)) {
             return ReportOutcome::Outdated;
@@ -158,7 +158,7 @@
         }
         if !self.is_new_start(report) && !self.is_repeated(now, report) {
             doubt(&mut self.doubted, now, report);
-            return ReportOutcome::Doubted;
+            return ReportOutcome::Unconfirmed;
         }
         self.begin(now, report)
     }
@@ -283,10 +283,10 @@
 }
 
 /// Holds a start whose word is not believed yet.
-fn doubt(held: &mut Option<Doubted>, now: Duration, report: &BackendReport) {
+fn doubt(held: &mut Option<Unconfirmed>, now: Duration, report: &BackendReport) {
     let same = held.as_ref().filter(|doubted| doubted.incarnation == report.incarnation);
     let since = same.map_or(now, |doubted| doubted.since);
-    *held = Some(Doubted {
+    *held = Some(Unconfirmed {
         incarnation: report.incarnation.clone(),
         sequence: report.sequence,
         since,
--- a/crates/carried/src/balancer/knowledge.rs
+++ b/crates/carried/src/balancer/knowledge.rs
@@ -6,7 +6,7 @@
     /// What this node gives to whoever asks.
     pub fn snapshot(&self) -> Snapshot {
         let has_ended =
-            |agent: &SocketAddrV4| self.pool.view(agent).is_some_and(AgentView::has_ended);
+            |agent: &SocketAddrV4| self.pool.view(agent).is_some_and(AgentView::backend_ended);
         self.standing.snapshot(|address| !has_ended(address))
     }
 
--- a/crates/carried/src/balancer/lookup_order.rs
+++ b/crates/carried/src/balancer/lookup_order.rs
@@ -1,9 +1,9 @@
 //! Which agents a search asks for its flow, or gives a packet on trial, and in which order.
 
 use super::*;
-use crate::lookup::{FIRST_BATCH, Lookup, Said};
+use crate::lookup::{AgentAnswer, INITIAL_BATCH, Lookup};
 use crate::message::FlowMemory;
-use crate::pool::SAMPLE;
+use crate::pool::SAMPLE_SIZE;
 use crate::rank::Ranking;
 
 /// Agents are asked about one flow, at most; where there are more, nobody is told that its flow is
@@ -15,8 +15,8 @@
     /// all others, since an address may have stood for a service that this process never knew.
     pub(super) fn next_batch(&self, now: Duration, number: u64) -> Vec<SocketAddrV4> {
         let Some(lookup) = self.lookups.get(number) else { return Vec::new() };
-        let asked = lookup.all_said().count();
-        let most = (FIRST_BATCH << lookup.batches.min(8)).min(MOST_ASKED.saturating_sub(asked));
+        let asked = lookup.answers().count();
+        let most = (INITIAL_BATCH << lookup.batches.min(8)).min(MOST_ASKED.saturating_sub(asked));
         let address = lookup.segment.flow().service;
         let holders = self.routes.holders(&address);
         let agents = holders.flat_map(|service| self.pool.of_service(service));
@@ -28,8 +28,8 @@
     }
 
     /// What an agent has said of a flow, or would say: one that has forgotten flows is unsure.
-    pub(super) fn known_word(&self, lookup: &Lookup, agent: &SocketAddrV4) -> Option<Said> {
-        lookup.said(agent).or_else(|| self.has_forgotten(agent).then_some(Said::Unsure))
+    pub(super) fn known_word(&self, lookup: &Lookup, agent: &SocketAddrV4) -> Option<AgentAnswer> {
+        lookup.answer(agent).or_else(|| self.has_forgotten(agent).then_some(AgentAnswer::Unsure))
     }
 
     /// Whether an agent may hold flows that it does not know.
@@ -56,7 +56,8 @@
     pub(super) fn unsure_agents(&self, lookup: &Lookup) -> Vec<SocketAddrV4> {
         let flow = lookup.segment.flow();
         let is_unsure = |agent: &SocketAddrV4| {
-            self.known_word(lookup, agent) == Some(Said::Unsure) && self.may_enter(&flow, agent)
+            self.known_word(lookup, agent) == Some(AgentAnswer::Unsure)
+                && self.may_enter(&flow, agent)
         };
         let holders = self.routes.holders(&flow.service);
         let of_holders = holders.flat_map(|service| self.pool.of_service(service));
@@ -79,7 +80,7 @@
         let mut ranked: Vec<_> = agents.map(rank).collect();
         ranked.sort_unstable();
         let near = ranked.iter().filter(|(is_far, ..)| !is_far).count();
-        ranked[near.min(SAMPLE)..].sort_unstable_by_key(|(_, rank, _)| *rank);
+        ranked[near.min(SAMPLE_SIZE)..].sort_unstable_by_key(|(_, rank, _)| *rank);
         ranked.into_iter().map(|(.., agent)| agent).collect()
     }
 
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -9,8 +9,8 @@
 
 use super::*;
 use crate::lookup::{
-    FIRST_PAUSE, FIRST_TRIALS, LASTS, Lookup, MOST_TRIAL_DOUBLINGS, MOST_TRIALS, Said,
-    TRIAL_PATIENCE, WORD_PATIENCE,
+    ANSWER_TIMEOUT, AgentAnswer, INITIAL_RETRY_DELAY, INITIAL_TRIALS, LOOKUP_TIMEOUT, Lookup,
+    MAX_TRIAL_DOUBLINGS, MAX_TRIALS, TRIAL_TIMEOUT,
 };
 use crate::message::{FlowQuestion, FlowWord, MOST_FLOWS_ASKED, Word};
 use crate::view::StartTime;
@@ -44,12 +44,12 @@
         };
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         if let Some(agent) = not_at {
-            lookup.note(agent, Said::Absent(now));
+            lookup.note_answer(agent, AgentAnswer::Absent(now));
         }
-        if lookup.ended_at.is_some_and(|at| now.saturating_sub(at) >= TOLD_AGAIN_AFTER) {
+        if lookup.reset_at.is_some_and(|at| now.saturating_sub(at) >= TOLD_AGAIN_AFTER) {
             return self.tell_over(now, number);
         }
-        if lookup.began_at.is_none() {
+        if lookup.started_at.is_none() {
             return self.begin_searches(now);
         }
         self.advance_lookup(now, number);
@@ -66,10 +66,10 @@
     ) -> Option<u64> {
         let known = self.lookups.number_of(&flow);
         let lookup = known.and_then(|number| self.lookups.get_mut(number));
-        if let Some(lookup) = lookup.filter(|lookup| lookup.serves(now, segment)) {
-            let was_urgent = lookup.demands_answer();
-            lookup.add(now, segment, datagram);
-            if lookup.began_at.is_none() && lookup.demands_answer() && !was_urgent {
+        if let Some(lookup) = lookup.filter(|lookup| lookup.applies_to(now, segment)) {
+            let was_urgent = lookup.expects_answer();
+            lookup.add_packet(now, segment, datagram);
+            if lookup.started_at.is_none() && lookup.expects_answer() && !was_urgent {
                 self.repair.enqueue(now, known.unwrap_or_default(), true);
             }
             return known;
@@ -83,9 +83,9 @@
         if let Some(before) = before.filter(|before| before.segment.is_near(segment)) {
             lookup.trials = before.trials;
         }
-        let is_urgent = lookup.demands_answer();
+        let is_urgent = lookup.expects_answer();
         let number = self.lookups.start(now, flow, lookup);
-        self.lookups.wake_at(number, now + LASTS);
+        self.lookups.wake_at(number, now + LOOKUP_TIMEOUT);
         self.repair.enqueue(now, number, is_urgent);
         Some(number)
     }
@@ -101,9 +101,9 @@
                 self.finish_lookup(now, number);
                 continue;
             }
-            if lookup.began_at.is_none() {
-                lookup.began_at = Some(now);
-                lookup.next_ask = now + FIRST_PAUSE;
+            if lookup.started_at.is_none() {
+                lookup.started_at = Some(now);
+                lookup.next_retry = now + INITIAL_RETRY_DELAY;
                 self.repair.note_begun(now, number);
                 self.advance_lookup(now, number);
             }
@@ -114,7 +114,7 @@
     /// Ends a search.
     pub(super) fn finish_lookup(&mut self, now: Duration, number: u64) -> Option<Lookup> {
         let lookup = self.lookups.finish(number)?;
-        if let Some(began_at) = lookup.began_at {
+        if let Some(began_at) = lookup.started_at {
             self.repair.note_settled(now, began_at, number);
         }
         Some(lookup)
@@ -122,14 +122,14 @@
 
     /// Takes a search as far as it goes without another word from an agent.
     fn advance_lookup(&mut self, now: Duration, number: u64) {
-        let Some(lookup) = self.lookups.get(number).filter(|lookup| lookup.began_at.is_some())
+        let Some(lookup) = self.lookups.get(number).filter(|lookup| lookup.started_at.is_some())
         else {
             return;
         };
-        if lookup.ended_at.is_some() {
+        if lookup.reset_at.is_some() {
             return self.lookups.wake_at(number, now + TOLD_LASTS);
         }
-        if let Some(until) = lookup.awaits_until(now) {
+        if let Some(until) = lookup.answers_due_at(now) {
             return self.lookups.wake_at(number, until);
         }
         let batch = self.next_batch(now, number);
@@ -143,7 +143,7 @@
             return self.tell_over(now, number);
         }
         let Some(lookup) = self.lookups.get(number) else { return };
-        let next_ask = lookup.next_ask;
+        let next_ask = lookup.next_retry;
         self.lookups.wake_at(number, next_ask.max(now));
     }
 
@@ -153,10 +153,10 @@
         let question = question(lookup);
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
-            lookup.note(to, Said::Asked(now));
+            lookup.note_answer(to, AgentAnswer::Asked(now));
             self.questions.add(now, to, question);
         }
-        self.lookups.wake_at(number, now + WORD_PATIENCE);
+        self.lookups.wake_at(number, now + ANSWER_TIMEOUT);
     }
 
     /// Sends the questions that have gathered, if it is time.
@@ -175,8 +175,8 @@
         let Some(lookup) = self.lookups.get(number) else { return false };
         let Some(datagram) = lookup.trial_packet(now).cloned() else { return false };
         let most = match self.others_deny(now, lookup) {
-            true => FIRST_TRIALS << lookup.trial_rounds.min(MOST_TRIAL_DOUBLINGS),
-            false => MOST_TRIALS.saturating_sub(lookup.trials),
+            true => INITIAL_TRIALS << lookup.trial_rounds.min(MAX_TRIAL_DOUBLINGS),
+            false => MAX_TRIALS.saturating_sub(lookup.trials),
         };
         let mut unsure = self.unsure_agents(lookup);
         unsure.truncate(most);
@@ -191,11 +191,11 @@
             flow = flow_name(&lookup.segment.flow()).as_str(), agents = unsure.len(); "flow_tried"
         );
         for to in unsure {
-            lookup.note(to, Said::Tried(now));
+            lookup.note_answer(to, AgentAnswer::Tried(now));
             let message = Message::Try { datagram: datagram.clone() };
             self.outputs.push_back(Output::ToPeer { to, message });
         }
-        self.lookups.wake_at(number, now + TRIAL_PATIENCE);
+        self.lookups.wake_at(number, now + TRIAL_TIMEOUT);
         true
     }
 
@@ -203,16 +203,16 @@
     fn tell_over(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         let segment = lookup.segment;
-        if !lookup.demands_answer() {
+        if !lookup.expects_answer() {
             return;
         }
-        let is_first = lookup.ended_at.replace(now).is_none();
-        let (started, began_at) = (lookup.started, lookup.began_at.unwrap_or(now));
-        lookup.take_waiting(now);
+        let is_first = lookup.reset_at.replace(now).is_none();
+        let (started, began_at) = (lookup.created_at, lookup.started_at.unwrap_or(now));
+        lookup.take_buffered(now);
         self.repair.note_settled(now, began_at, number);
         let age = now.saturating_sub(started);
         if is_first {
-            self.latency.verdict.observe(age);
+            self.latency.flow_over.observe(age);
             self.counters.flows_told_over += 1;
         }
         let Some(lookup) = self.lookups.get(number) else { return };
@@ -228,14 +228,14 @@
 
     /// Who said what, and how long ago; those that denied as one.
     fn describe_said(&self, now: Duration, lookup: &Lookup) -> String {
-        let absent = lookup.all_said().filter_map(|(_, said)| match said {
-            Said::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
+        let absent = lookup.answers().filter_map(|(_, said)| match said {
+            AgentAnswer::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
             _ => None,
         });
         let (denials, oldest) =
             absent.fold((0, 0), |(count, oldest), age| (count + 1, oldest.max(age)));
-        let others = self.agents_known().filter_map(|agent| match lookup.said(&agent) {
-            Some(Said::Absent(_)) => None,
+        let others = self.agents_known().filter_map(|agent| match lookup.answer(&agent) {
+            Some(AgentAnswer::Absent(_)) => None,
             _ => Some(format!(",{}:gone", agent.ip())),
         });
         format!("absent:{denials}:{oldest}ms{}", others.collect::<String>())
@@ -251,8 +251,8 @@
         let Some(number) = self.lookups.number_of(&flow) else { return };
         let Some(mut lookup) = self.finish_lookup(now, number) else { return };
         self.counters.lookups_found += 1;
-        self.latency.lookup.observe(now.saturating_sub(lookup.started));
-        for datagram in lookup.take_waiting(now) {
+        self.latency.lookup.observe(now.saturating_sub(lookup.created_at));
+        for datagram in lookup.take_buffered(now) {
             self.counters.packets_forwarded += 1;
             let message = Message::Forward { datagram };
             self.outputs.push_back(Output::ToPeer { to: from, message });
@@ -267,17 +267,21 @@
         up_ms: u32,
         words: &[FlowWord],
     ) {
-        let lost_power = self.acquaintance.lost_power(Some(StartTime::of(now, up_ms)));
+        let lost_power = self.acquaintance.lost_power(Some(StartTime::from_uptime(now, up_ms)));
         self.pool.note_alive(&from);
         for FlowWord { flow, word } in words {
             match word {
                 Word::Held => self.handle_held(now, from, (*flow).into()),
-                Word::Absent => self.handle_not_here(now, from, (*flow).into(), Said::Absent(now)),
+                Word::Absent => {
+                    self.handle_not_here(now, from, (*flow).into(), AgentAnswer::Absent(now))
+                }
                 // It would know the flow if it had been placed since everything lost power.
                 Word::Unsure if lost_power => {
-                    self.handle_not_here(now, from, (*flow).into(), Said::Absent(now));
+                    self.handle_not_here(now, from, (*flow).into(), AgentAnswer::Absent(now));
+                }
+                Word::Unsure => {
+                    self.handle_not_here(now, from, (*flow).into(), AgentAnswer::Unsure)
                 }
-                Word::Unsure => self.handle_not_here(now, from, (*flow).into(), Said::Unsure),
                 // It is asked again in a moment.
                 Word::Early => {}
             }
@@ -285,18 +289,24 @@
     }
 
     /// An agent does not know a flow.
-    fn handle_not_here(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey, said: Said) {
+    fn handle_not_here(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        flow: FlowKey,
+        said: AgentAnswer,
+    ) {
         let number = self.lookups.number_of(&flow);
         let lookup = number.and_then(|number| Some((number, self.lookups.get_mut(number)?)));
-        let Some((number, lookup)) = lookup.filter(|(_, lookup)| lookup.said(&from).is_some())
+        let Some((number, lookup)) = lookup.filter(|(_, lookup)| lookup.answer(&from).is_some())
         else {
             self.counters.answers_unexpected += 1;
             return;
         };
         // It has a packet on trial; what becomes of that is still to come.
-        let is_tried = matches!(lookup.said(&from), Some(Said::Tried(_)));
-        if !(is_tried && said == Said::Unsure) {
-            lookup.note(from, said);
+        let is_tried = matches!(lookup.answer(&from), Some(AgentAnswer::Tried(_)));
+        if !(is_tried && said == AgentAnswer::Unsure) {
+            lookup.note_answer(from, said);
         }
         self.advance_lookup(now, number);
     }
@@ -320,11 +330,11 @@
             self.finish_lookup(now, number);
             return;
         }
-        if lookup.began_at.is_none() {
-            return self.lookups.wake_at(number, now + LASTS);
+        if lookup.started_at.is_none() {
+            return self.lookups.wake_at(number, now + LOOKUP_TIMEOUT);
         }
-        let is_settled = lookup.ended_at.is_some() || lookup.awaits_until(now).is_some();
-        if !is_settled && lookup.next_ask <= now && self.next_batch(now, number).is_empty() {
+        let is_settled = lookup.reset_at.is_some() || lookup.answers_due_at(now).is_some();
+        if !is_settled && lookup.next_retry <= now && self.next_batch(now, number).is_empty() {
             self.ask_again(now, number);
         }
         self.advance_lookup(now, number);
@@ -333,11 +343,11 @@
     /// Tells once who holds up a search whose caller waits.
     fn report_long(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        let takes_long = now.saturating_sub(lookup.started) >= LONG_SEARCH;
-        if !takes_long || lookup.was_reported || !lookup.demands_answer() {
+        let takes_long = now.saturating_sub(lookup.created_at) >= LONG_SEARCH;
+        if !takes_long || lookup.slow_logged || !lookup.expects_answer() {
             return;
         }
-        lookup.was_reported = true;
+        lookup.slow_logged = true;
         let Some(lookup) = self.lookups.get(number) else { return };
         log::info!(
             flow = flow_name(&lookup.segment.flow()).as_str(), trials = lookup.trials,
@@ -352,10 +362,10 @@
         let describe = |agent: SocketAddrV4| {
             let word = match self.known_word(lookup, &agent) {
                 None => "not_asked",
-                Some(Said::Asked(_)) => "silent",
-                Some(Said::Unsure) => "unsure",
-                Some(Said::Tried(_)) => "tried",
-                Some(Said::Absent(_)) => "absent",
+                Some(AgentAnswer::Asked(_)) => "silent",
+                Some(AgentAnswer::Unsure) => "unsure",
+                Some(AgentAnswer::Tried(_)) => "tried",
+                Some(AgentAnswer::Absent(_)) => "absent",
             };
             let heard = self.pool.view(&agent).map(|view| view.age(now).as_millis().to_string());
             format!("{}:{word}:{}ms", agent.ip(), heard.unwrap_or_else(|| "never".to_owned()))
@@ -367,12 +377,12 @@
     fn ask_again(&mut self, now: Duration, number: u64) {
         self.report_long(now, number);
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        lookup.note_asked_again(now);
-        let agents = lookup.unsettled(now);
+        lookup.note_retry(now);
+        let agents = lookup.unresolved(now);
         let question = question(lookup);
-        let silent = if self.lateness.is_late(now) { Vec::new() } else { lookup.silent() };
+        let silent = if self.lateness.is_late(now) { Vec::new() } else { lookup.unanswered() };
         for (agent, asked_at) in silent {
-            self.pool.note_in_vain(&agent, asked_at);
+            self.pool.note_unanswered_query(&agent, asked_at);
         }
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -37,15 +37,15 @@
 use crate::configuration::{CarriedConfiguration, RoutingTable};
 use crate::counters::CarriedBalancerCounters;
 use crate::flow_cache::FlowCache;
+use crate::flow_table::FlowTable;
 use crate::latency::BalancerLatency;
 use crate::lookup::Lookup;
 use crate::membership::{Membership, Node, Peer};
 use crate::message::{
     Admission, DeclineReason, Heartbeat, LoadReport, Message, NodeRole, Snapshot,
 };
-use crate::opening::{Answer, Asked, Opening, Openings};
 use crate::output::Output;
-use crate::pending::Pending;
+use crate::pending_flow::{Offer, OfferAnswer, PendingFlow, PendingFlows};
 use crate::plain_format::PlainFormat;
 use crate::policy::{Policies, Policy};
 use crate::pool::Pool;
@@ -103,10 +103,10 @@
     pool: Pool,
     policies: Policies,
     flows: FlowCache,
-    openings: Openings,
+    openings: PendingFlows,
     /// Flows that were asked for before any configuration was known.
     unrouted: Unrouted,
-    lookups: Pending<Lookup>,
+    lookups: FlowTable<Lookup>,
     questions: Questions,
     repair: Repair,
     acquaintance: Acquaintance,
@@ -137,8 +137,8 @@
             policies: settings.policies,
             flows: FlowCache::default(),
             unrouted: Unrouted::default(),
-            openings: Openings::new(random.random()),
-            lookups: Pending::new(random.random()),
+            openings: PendingFlows::new(random.random()),
+            lookups: FlowTable::new(random.random()),
             questions: Questions::default(),
             acquaintance: Acquaintance::default(),
             errands: Errands::default(),
@@ -235,7 +235,7 @@
             self.pool.take_report(now, from, report);
             let distance = self.distance(&heartbeat.zone, &heartbeat.region);
             let Heartbeat { zone, region, .. } = heartbeat;
-            self.pool.locate(&from, Location { distance, zone, region });
+            self.pool.set_location(&from, Location { distance, zone, region });
         }
         if is_new {
             self.send_heartbeat(now, from, false);
@@ -312,7 +312,7 @@
     fn forget_agents(&mut self) {
         if self.pool.len() > self.standing.membership.len() {
             let membership = &self.standing.membership;
-            self.pool.forget(|agent| membership.knows(agent));
+            self.pool.retain(|agent| membership.knows(agent));
         }
     }
 
--- a/crates/carried/src/balancer/openings.rs
+++ b/crates/carried/src/balancer/openings.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::offer_budget::FREE_OFFERS;
-use crate::opening::{Opened, Wanted, may_reset_copy};
+use crate::pending_flow::{ReceivedSyn, Requirements, may_reset_after};
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
     pub(super) fn handle_opening(&mut self, now: Duration, segment: &Segment, datagram: &[u8]) {
@@ -12,7 +12,7 @@
         }
         // The caller has sent the next copy by now, or has given up and may use its port for another
         // flow, which this packet would end.
-        if !may_reset_copy(segment.acknowledgement, self.input_waited) {
+        if !may_reset_after(segment.acknowledgement, self.input_waited) {
             self.counters.openings_stale += 1;
             return;
         }
@@ -23,7 +23,7 @@
             self.finish_lookup(now, number);
         }
         if let Some(number) = self.openings.number_of(&flow) {
-            self.openings.note_copy(came_at, number, segment.acknowledgement);
+            self.openings.note_retransmission(came_at, number, segment.acknowledgement);
             return self.check_line(now, number);
         }
         if let Some(agent) = self.flows.agent(&flow) {
@@ -33,13 +33,18 @@
             self.flows.remove(&flow, agent);
         }
         let datagram = datagram.to_vec();
-        let opened =
-            Opened { segment: *segment, datagram, came_at, started: now, first_came: came_at };
+        let opened = ReceivedSyn {
+            segment: *segment,
+            datagram,
+            arrived_at: came_at,
+            received_at: now,
+            first_arrived_at: came_at,
+        };
         self.open(now, opened);
     }
 
     /// Begins to look for a place for a new flow.
-    pub(super) fn open(&mut self, now: Duration, opened: Opened) {
+    pub(super) fn open(&mut self, now: Duration, opened: ReceivedSyn) {
         let segment = opened.segment;
         let address = segment.flow().service;
         let Some(route) = self.routes.route(&address) else {
@@ -62,7 +67,7 @@
             return self.refuse(now, &segment, Refusal::NoRoute, None);
         };
         self.counters.openings_started += 1;
-        let wanted = Wanted { service, regions, aim, priority };
+        let wanted = Requirements { service, regions, aim, priority };
         let number = self.openings.start(now, opened, wanted);
         self.advance(now, number);
     }
@@ -105,18 +110,18 @@
         let interval = self.standing.membership.interval();
         let random = &mut self.random;
         let Some(opening) = self.openings.get_mut(number) else { return };
-        if opening.is_pending() {
+        if opening.awaits_answer() {
             return;
         }
         // In overload nobody has a free slot: the flow goes to a queue at once, if it may.
         let is_scarce = self.pool.is_budget_spent(now, &opening.service);
         // The last offer that is free must not go to waste: an agent without a free slot takes the flow
         // into its queue, which costs less than asking on.
-        let is_last_free = opening.offers + 1 >= FREE_OFFERS;
+        let is_last_free = opening.offer_count + 1 >= FREE_OFFERS;
         loop {
             let is_late = opening.is_late(now) && self.pool.is_recovering(now, &opening.service);
-            let has_line = self.policies.has(Policy::Line) && opening.patience(now).is_some();
-            if opening.wants_line || (has_line && (is_late || is_scarce)) {
+            let has_line = self.policies.has(Policy::Line) && opening.remaining_wait(now).is_some();
+            if opening.wants_wait_queue || (has_line && (is_late || is_scarce)) {
                 break;
             }
             // A place in the queue is for those that still meet their aim.
@@ -125,16 +130,16 @@
             let most = if opening.wants_queue { MOST_QUEUE_ASKED } else { MOST_FREE_ASKED };
             let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
                 let may_have_room = opening.wants_queue || !view.is_known_full(now);
-                may_have_room && !opening.has_asked(agent) && view.is_in(&opening.regions)
+                may_have_room && !opening.excludes(agent) && view.is_in(&opening.regions)
             };
             let mut next = None;
-            if opening.asked_in_round() < most {
+            if opening.offers_in_round() < most {
                 let noise = || random.random::<f64>();
                 let ranking = Ranking::of(&opening.flow());
                 next = self.pool.best(now, interval, &opening.service, ranking, may_ask, noise);
             }
             if let Some(agent) = next {
-                if self.pool.take_offer(now, &opening.service, opening.offers) {
+                if self.pool.take_offer(now, &opening.service, opening.offer_count) {
                     return self.offer(now, number, agent);
                 }
                 self.counters.offers_withheld += 1;
@@ -162,18 +167,18 @@
             || self.pool.is_known_full(now, interval, &opening.service);
         if !is_full && self.policies.has(Policy::LastResort) {
             let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
-                !opening.has_asked(agent) && view.is_in(&opening.regions)
+                !opening.excludes(agent) && view.is_in(&opening.regions)
             };
             if let Some(agent) = self.pool.suspect(now, interval, &opening.service, may_ask) {
-                opening.wants_line = false;
+                opening.wants_wait_queue = false;
                 return self.offer(now, number, agent);
             }
             let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
-                !opening.has_asked_failing(agent) && view.is_in(&opening.regions)
+                !opening.has_tried_failing(agent) && view.is_in(&opening.regions)
             };
             if let Some(agent) = self.pool.failing(now, interval, &opening.service, may_ask) {
                 opening.is_last_resort = true;
-                opening.wants_line = false;
+                opening.wants_wait_queue = false;
                 return self.offer(now, number, agent);
             }
         }
@@ -191,7 +196,7 @@
             (false, false) if is_evacuated => Some(Refusal::Unavailable),
             (false, false) if age < opening.aim.mul_f64(SEARCH_SHARE) => None,
             // Agents are being heard of: the list of nodes came with the first configuration.
-            (false, false) if is_young && opening.patience(now).is_some() => None,
+            (false, false) if is_young && opening.remaining_wait(now).is_some() => None,
             (false, false) => Some(Refusal::Unavailable),
         };
         match refusal {
@@ -216,24 +221,24 @@
         }
         let interval = self.standing.membership.interval();
         let Some(opening) = self.openings.get_mut(number) else { return false };
-        if opening.patience(now).is_none() || opening.lines_left() == 0 {
+        if opening.remaining_wait(now).is_none() || opening.wait_queues_left() == 0 {
             return false;
         }
         let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
-            !opening.has_asked_line(agent) && view.is_in(&opening.regions)
+            !opening.excludes_wait_queue(agent) && view.is_in(&opening.regions)
         };
         let random = &mut self.random;
         let noise = || random.random::<f64>();
         let ranking = Ranking::of(&opening.flow());
         let shortest =
-            self.pool.shortest_line(now, interval, &opening.service, ranking, may_ask, noise);
+            self.pool.shortest_wait_queue(now, interval, &opening.service, ranking, may_ask, noise);
         let Some(agent) = shortest else { return false };
         // Each flow may wait in some line; that another one is shorter is worth an offer in calm only.
-        let is_paid = self.pool.take_offer(now, &opening.service, opening.offers);
-        if !is_paid && opening.has_asked_any_line() {
+        let is_paid = self.pool.take_offer(now, &opening.service, opening.offer_count);
+        if !is_paid && opening.has_tried_wait_queue() {
             return false;
         }
-        opening.wants_line = true;
+        opening.wants_wait_queue = true;
         self.offer(now, number, agent);
         true
     }
@@ -249,10 +254,10 @@
         self.pool.take_report(now, from, report);
         let Some(opening) = self.openings.get_mut(number) else { return };
         let Some(asked) = opening.last_offer_to(from) else { return };
-        asked.answer = Answer::Queued;
+        asked.answer = OfferAnswer::Queued;
         self.counters.openings_queued += 1;
         // The agent tells before; if it does not, the caller's try is over.
-        let patience = opening.patience(now).unwrap_or_default();
+        let patience = opening.remaining_wait(now).unwrap_or_default();
         self.openings.wake_at(number, now + patience + LINE_GRACE);
     }
 
@@ -261,10 +266,10 @@
     fn check_line(&mut self, now: Duration, number: u64) {
         let interval = self.standing.membership.interval();
         let Some(opening) = self.openings.get_mut(number) else { return };
-        let Some(agent) = opening.queued_at() else { return };
+        let Some(agent) = opening.queued_agent() else { return };
         let is_gone = self.pool.view(&agent).is_none_or(|view| view.is_suspect(now, interval));
         if is_gone && let Some(asked) = opening.last_offer_to(agent) {
-            asked.answer = Answer::Unanswered;
+            asked.answer = OfferAnswer::Unanswered;
             self.advance(now, number);
         }
     }
@@ -275,9 +280,9 @@
         let budget_ms = budget.as_millis() as u32;
         let is_late = opening.is_late(now) && self.pool.is_recovering(now, &opening.service);
         let admission = match (opening.is_last_resort, opening.wants_queue) {
-            _ if opening.wants_line => Admission::Line {
+            _ if opening.wants_wait_queue => Admission::Line {
                 within_ms: if is_late { 0 } else { budget_ms.min(u32::from(u16::MAX)) as u16 },
-                patience_ms: opening.patience(now).unwrap_or_default().as_millis() as u16,
+                patience_ms: opening.remaining_wait(now).unwrap_or_default().as_millis() as u16,
                 priority: opening.priority,
             },
             (true, _) => Admission::Failing(budget_ms),
@@ -285,8 +290,13 @@
             (false, false) if is_late => Admission::Spare,
             (false, false) => Admission::FreeSlot,
         };
-        opening.asked.push(Asked { agent, admission, answer: Answer::Pending, asked_at: now });
-        opening.offers += 1;
+        opening.offers.push(Offer {
+            agent,
+            admission,
+            answer: OfferAnswer::Pending,
+            offered_at: now,
+        });
+        opening.offer_count += 1;
         let message = Message::Offer {
             number,
             service: opening.service.clone(),
@@ -317,8 +327,8 @@
         self.counters.openings_placed += 1;
         self.pool.note_placed(now, &opening.service);
         self.note_answer(now, &opening, from);
-        self.latency.opening.observe(opening.age(now));
-        self.latency.offers.observe_count(opening.asked.len());
+        self.latency.placement.observe(opening.age(now));
+        self.latency.offers_per_flow.observe_count(opening.offers.len());
         log::info!(
             flow = flow_name(&opening.flow()).as_str(), agent:% = from,
             service = opening.service.as_str(), age_us = opening.age(now).as_micros() as u64,
@@ -329,10 +339,10 @@
         self.flows.insert(now, self.idle_timeout(), opening.flow(), from);
     }
 
-    fn note_answer(&self, now: Duration, opening: &Opening, from: SocketAddrV4) {
-        let made = opening.asked.iter().rev().find(|asked| asked.agent == from);
+    fn note_answer(&self, now: Duration, opening: &PendingFlow, from: SocketAddrV4) {
+        let made = opening.offers.iter().rev().find(|asked| asked.agent == from);
         if let Some(asked) = made {
-            self.latency.offer.observe(now.saturating_sub(asked.asked_at));
+            self.latency.offer_answer.observe(now.saturating_sub(asked.offered_at));
         }
     }
 
@@ -348,8 +358,8 @@
         self.pool.take_report(now, from, report);
         let Some(opening) = self.openings.get_mut(number) else { return };
         if let Some(asked) = opening.last_offer_to(from) {
-            asked.answer = Answer::Declined(reason);
-            self.latency.offer.observe(now.saturating_sub(asked.asked_at));
+            asked.answer = OfferAnswer::Declined(reason);
+            self.latency.offer_answer.observe(now.saturating_sub(asked.offered_at));
         }
         self.advance(now, number);
     }
@@ -357,18 +367,18 @@
     pub(super) fn wake_opening(&mut self, now: Duration, number: u64) {
         let is_late = self.lateness.is_late(now);
         let Some(opening) = self.openings.get_mut(number) else { return };
-        if opening.queued_at().is_some() {
+        if opening.queued_agent().is_some() {
             // Its agent, or what it said, is lost; whether it has opened is not known here.
             if let Some(opening) = self.openings.finish(number) {
                 self.give_up(now, &opening, Refusal::Unanswered);
             }
             return;
         }
-        for asked in &mut opening.asked {
-            if asked.answer != Answer::Pending {
+        for asked in &mut opening.offers {
+            if asked.answer != OfferAnswer::Pending {
                 continue;
             }
-            asked.answer = Answer::Unanswered;
+            asked.answer = OfferAnswer::Unanswered;
             self.counters.offers_unanswered += 1;
             if is_late {
                 self.counters.unanswered_while_late += 1;
--- a/crates/carried/src/balancer/refusals.rs
+++ b/crates/carried/src/balancer/refusals.rs
@@ -1,7 +1,7 @@
 //! New flows that find no place: refused, or left to the copies of their opening packets.
 
 use super::*;
-use crate::opening::Opening;
+use crate::pending_flow::PendingFlow;
 
 /// Why a new flow is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -29,7 +29,7 @@
         now: Duration,
         segment: &Segment,
         refusal: Refusal,
-        opening: Option<&Opening>,
+        opening: Option<&PendingFlow>,
     ) {
         match refusal {
             Refusal::NoRoute => self.counters.openings_refused_no_route += 1,
@@ -49,7 +49,7 @@
     }
 
     /// Leaves a flow to the copies of its opening packet.
-    pub(super) fn give_up(&mut self, now: Duration, opening: &Opening, refusal: Refusal) {
+    pub(super) fn give_up(&mut self, now: Duration, opening: &PendingFlow, refusal: Refusal) {
         self.counters.openings_left_to_copies += 1;
         log::warn!(
             flow = flow_name(&opening.flow()).as_str(), reason = refusal.name(),
@@ -60,13 +60,13 @@
     }
 
     /// The agents that an opening asked, with what each said and what was known of it.
-    pub(super) fn describe_asked(&self, now: Duration, opening: &Opening) -> String {
-        let describe = |asked: &Asked| {
+    pub(super) fn describe_asked(&self, now: Duration, opening: &PendingFlow) -> String {
+        let describe = |asked: &Offer| {
             let answer = match asked.answer {
-                Answer::Pending => "pending",
-                Answer::Unanswered => "unanswered",
-                Answer::Queued => "queued",
-                Answer::Declined(reason) => reason.name(),
+                OfferAnswer::Pending => "pending",
+                OfferAnswer::Unanswered => "unanswered",
+                OfferAnswer::Queued => "queued",
+                OfferAnswer::Declined(reason) => reason.name(),
             };
             let view = self.pool.view(&asked.agent);
             let load = view.map(|view| (view.report.waiting, view.report.capacity, view.age(now)));
@@ -74,6 +74,6 @@
             let age = age.as_millis();
             format!("{}:{answer}:{waiting}/{capacity}:{age}ms", asked.agent.ip())
         };
-        opening.asked.iter().map(describe).collect::<Vec<_>>().join(",")
+        opening.offers.iter().map(describe).collect::<Vec<_>>().join(",")
     }
 }
--- a/crates/carried/src/balancer/unrouted.rs
+++ b/crates/carried/src/balancer/unrouted.rs
@@ -5,7 +5,7 @@
 //! that the flow is placed as soon as a configuration is here. Without that a caller which had sent
 //! its last copy came anew after up to 0.8 s, with one try less.
 
-use crate::opening::{Opened, TRY_LASTS};
+use crate::pending_flow::{ATTEMPT_TIMEOUT, ReceivedSyn};
 use loftdrift_wire::FlowKey;
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
@@ -24,7 +24,7 @@
 /// The flows, in the order in which they came.
 #[derive(Debug, Default)]
 pub(super) struct Unrouted {
-    kept: HashMap<FlowKey, Opened>,
+    kept: HashMap<FlowKey, ReceivedSyn>,
     order: VecDeque<(Duration, FlowKey)>,
     /// When the first configuration came.
     routed_at: Option<Duration>,
@@ -35,12 +35,12 @@
 
 impl Unrouted {
     /// Keeps an opening packet, in place of an earlier copy of it.
-    pub(super) fn keep(&mut self, opened: Opened) {
+    pub(super) fn keep(&mut self, opened: ReceivedSyn) {
         let flow = opened.segment.flow();
-        let now = opened.started;
-        match self.kept.get_mut(&flow).filter(|kept| kept.is_copy(&opened)) {
+        let now = opened.received_at;
+        match self.kept.get_mut(&flow).filter(|kept| kept.is_retransmission(&opened)) {
             // It has waited since its first copy came.
-            Some(kept) => kept.came_at = opened.came_at,
+            Some(kept) => kept.arrived_at = opened.arrived_at,
             None => {
                 self.kept.insert(flow, opened);
                 self.order.push_back((now, flow));
@@ -52,11 +52,11 @@
     /// Leaves flows to their callers whose tries are over, and the oldest of too many.
     fn forget(&mut self, now: Duration) {
         while let Some((since, flow)) = self.order.front() {
-            let is_over = now.saturating_sub(*since) >= TRY_LASTS;
+            let is_over = now.saturating_sub(*since) >= ATTEMPT_TIMEOUT;
             if !is_over && self.order.len() <= MOST_KEPT {
                 return;
             }
-            if self.kept.get(flow).is_some_and(|kept| kept.started == *since) {
+            if self.kept.get(flow).is_some_and(|kept| kept.received_at == *since) {
                 self.kept.remove(flow);
             }
             self.order.pop_front();
@@ -80,7 +80,7 @@
     }
 
     /// Takes a flow whose caller still waits, the oldest first, if it is time.
-    pub(super) fn pop(&mut self, now: Duration) -> Option<Opened> {
+    pub(super) fn pop(&mut self, now: Duration) -> Option<ReceivedSyn> {
         if self.next_due().is_none_or(|at| now < at) {
             return None;
         }
@@ -92,7 +92,7 @@
         }
         while let Some((_, flow)) = self.order.pop_front() {
             // Its port may be used for another flow once its try is over.
-            let kept = self.kept.remove(&flow).filter(|kept| kept.is_waited_for(now));
+            let kept = self.kept.remove(&flow).filter(|kept| kept.is_caller_waiting(now));
             if kept.is_some() {
                 return kept;
             }
--- a/crates/carried/src/balancer/verdicts.rs
+++ b/crates/carried/src/balancer/verdicts.rs
@@ -5,7 +5,7 @@
 
 use super::lookup_order::MOST_ASKED;
 use super::*;
-use crate::lookup::{Lookup, Said, WORD_PATIENCE};
+use crate::lookup::{ANSWER_TIMEOUT, AgentAnswer, Lookup};
 use crate::message::{BackendCondition, FlowMemory};
 use crate::view::StartTime;
 
@@ -71,7 +71,7 @@
     /// Whether every agent known has said that the flow does not live there, or may be unsure.
     pub(super) fn others_deny(&self, now: Duration, lookup: &Lookup) -> bool {
         let denies = |agent: &SocketAddrV4| match self.known_word(lookup, agent) {
-            Some(Said::Unsure | Said::Tried(_)) => true,
+            Some(AgentAnswer::Unsure | AgentAnswer::Tried(_)) => true,
             _ => self.denies(now, lookup, agent),
         };
         self.agents_known().all(|agent| denies(&agent))
@@ -110,9 +110,9 @@
 
     pub(super) fn nobody_holds(&self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
-        let is_asked_enough = lookup.has_answer() && self.pool.len() <= MOST_ASKED;
+        let is_asked_enough = lookup.has_absent_answer() && self.pool.len() <= MOST_ASKED;
         self.policies.has(Policy::TellOver)
-            && lookup.demands_answer()
+            && lookup.expects_answer()
             && is_asked_enough
             && now >= self.acquaintance.enough_at()
             && self.agents_known().all(|agent| self.denies(now, lookup, &agent))
@@ -121,9 +121,9 @@
     /// Whether an agent holds the flow no more than it has said: it has denied, it said good-bye and
     /// does not answer, or it is gone.
     pub(super) fn denies(&self, now: Duration, lookup: &Lookup, agent: &SocketAddrV4) -> bool {
-        match lookup.said(agent) {
-            Some(Said::Absent(_)) => true,
-            Some(Said::Asked(at)) if now.saturating_sub(at) >= self.word_patience(now) => {
+        match lookup.answer(agent) {
+            Some(AgentAnswer::Absent(_)) => true,
+            Some(AgentAnswer::Asked(at)) if now.saturating_sub(at) >= self.word_patience(now) => {
                 self.has_said_goodbye(agent)
                     || self.never_had_backend(agent)
                     || self.is_gone(now, agent)
@@ -134,7 +134,7 @@
 
     /// An agent that lives has said what it knows of a flow in this time, and this process has read it.
     pub(super) fn word_patience(&self, now: Duration) -> Duration {
-        self.lateness.stretch(now, WORD_PATIENCE)
+        self.lateness.stretch(now, ANSWER_TIMEOUT)
     }
 
     /// Whether an agent lost power with everything and had heard of no back end since, as it said
@@ -149,7 +149,7 @@
     /// Whether an agent's last word was that its back end has ended. That may be long ago: one that
     /// answers holds what it says.
     pub(super) fn has_said_goodbye(&self, agent: &SocketAddrV4) -> bool {
-        self.pool.view(agent).is_some_and(AgentView::has_ended)
+        self.pool.view(agent).is_some_and(AgentView::backend_ended)
     }
 
     /// Every agent that this balancer has heard of, be it by hearsay.
@@ -169,10 +169,10 @@
             return true;
         }
         let since = self.acquaintance.since;
-        let asked_in_vain = self.pool.view(agent).and_then(|view| view.in_vain_since());
+        let asked_in_vain = self.pool.view(agent).and_then(|view| view.unresponsive_since());
         let in_vain = asked_in_vain.map(|asked_at| now.saturating_sub(asked_at.max(since)));
         let last_word = match self.pool.view(agent) {
-            Some(view) => view.heard_at(),
+            Some(view) => view.reported_at(),
             None => self.standing.membership.last_word(agent).unwrap_or(now),
         };
         let silence = now.saturating_sub(last_word.max(since));
@@ -186,10 +186,10 @@
     pub(super) fn has_all_restarted(&self, now: Duration) -> bool {
         let views = || self.pool.iter().map(|(_, view)| view).filter(|view| view.has_backend());
         let heard = views().count();
-        let is_prompt = |view: &&AgentView| view.was_heard_within(PROMPT);
+        let is_prompt = |view: &&AgentView| view.was_discovered_within(PROMPT);
         let prompt = views().filter(is_prompt).count();
         let lost_power = |view: &AgentView| self.acquaintance.lost_power(view.started_at());
-        views().all(|view| view.began_after(now, RESTART_SPREAD) || lost_power(view))
+        views().all(|view| view.backend_started_after(now, RESTART_SPREAD) || lost_power(view))
             && heard >= LEAST_RESTARTED
             && 2 * prompt >= heard
             && 2 * heard >= self.agents_known().count()
--- a/crates/carried/src/breaker.rs
+++ b/crates/carried/src/breaker.rs
@@ -31,12 +31,12 @@
 pub(crate) enum BreakerState {
     Closed,
     Open,
-    Trial,
+    HalfOpen,
 }
 
 impl ChartNames for BreakerState {
     const NAMES: &'static [(Self, &'static str)] =
-        &[(Self::Closed, "closed"), (Self::Open, "open"), (Self::Trial, "trial")];
+        &[(Self::Closed, "closed"), (Self::Open, "open"), (Self::HalfOpen, "trial")];
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -94,19 +94,19 @@
     }
 
     /// When the rest under way is over.
-    pub(crate) fn rests_until(&self) -> Option<Duration> {
+    pub(crate) fn open_until(&self) -> Option<Duration> {
         (self.state == BreakerState::Open).then_some(self.since + self.rest)
     }
 
     /// Goes on trial when the rest is over.
-    pub(crate) fn wake(&mut self, now: Duration) {
+    pub(crate) fn advance(&mut self, now: Duration) {
         self.step(now, self.state(now));
     }
 
     /// Takes a request's outcome; `true` when it opens the breaker.
     pub(crate) fn record(&mut self, now: Duration, failed: bool) -> bool {
         self.failing += NEW_SHARE * (f64::from(u8::from(failed)) - self.failing);
-        self.wake(now);
+        self.advance(now);
         let Some(event) = self.event(failed) else { return false };
         self.step(now, CHART.next(self.state, event));
         self.state == BreakerState::Open
@@ -115,8 +115,8 @@
     fn event(&mut self, failed: bool) -> Option<BreakerEvent> {
         match (self.state, failed) {
             (BreakerState::Closed, true) if self.failing >= TRIPS_AT => Some(BreakerEvent::Tripped),
-            (BreakerState::Trial, true) => Some(BreakerEvent::Failed),
-            (BreakerState::Trial, false) => {
+            (BreakerState::HalfOpen, true) => Some(BreakerEvent::Failed),
+            (BreakerState::HalfOpen, false) => {
                 self.good += 1;
                 (self.good >= RECOVERED_AFTER).then_some(BreakerEvent::Recovered)
             }
@@ -136,7 +136,7 @@
         match to {
             BreakerState::Open => self.begin_rest(),
             BreakerState::Closed => self.failing = 0.0,
-            BreakerState::Trial => {}
+            BreakerState::HalfOpen => {}
         }
         self.good = 0;
         self.since = now;
--- a/crates/carried/src/pending.rs
+++ b/crates/carried/src/flow_table.rs
@@ -14,17 +14,17 @@
 
 /// Things under way, by number and by flow.
 #[derive(Debug)]
-pub(crate) struct Pending<T> {
+pub(crate) struct FlowTable<T> {
     by_flow: HashMap<FlowKey, u64>,
     by_number: HashMap<u64, Entry<T>>,
     wake_ups: BTreeSet<(Duration, u64)>,
     last_number: u64,
 }
 
-impl<T> Pending<T> {
+impl<T> FlowTable<T> {
     /// Numbers its things from `first` on.
     pub(crate) fn new(first: u64) -> Self {
-        Pending {
+        FlowTable {
             by_flow: HashMap::new(),
             by_number: HashMap::new(),
             wake_ups: BTreeSet::new(),
--- a/crates/carried/src/input_age.rs
+++ b/crates/carried/src/input_age.rs
@@ -21,7 +21,7 @@
     }
 
     /// For how long datagrams of a batch that begins now may have waited.
-    pub fn waited(&self, now: Duration) -> Duration {
+    pub fn max_wait(&self, now: Duration) -> Duration {
         self.since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
     }
 
--- a/crates/carried/src/latency.rs
+++ b/crates/carried/src/latency.rs
@@ -6,31 +6,34 @@
 #[derive(Clone, Debug)]
 pub struct BalancerLatency {
     /// From an offer to the agent's word.
-    pub(crate) offer: Histogram,
+    pub(crate) offer_answer: Histogram,
     /// From an opening packet to its flow's place.
-    pub(crate) opening: Histogram,
+    pub(crate) placement: Histogram,
     /// Offers that it took.
-    pub(crate) offers: Histogram,
+    pub(crate) offers_per_flow: Histogram,
     /// From a packet of a flow that is not remembered until an agent holds it.
     pub(crate) lookup: Histogram,
     /// From a packet of a flow until its caller is told that nobody holds it.
-    pub(crate) verdict: Histogram,
+    pub(crate) flow_over: Histogram,
 }
 
 impl Default for BalancerLatency {
     fn default() -> Self {
         BalancerLatency {
-            offer: Histogram::seconds("offer_answer_seconds", "From an offer to the agent's word."),
-            opening: Histogram::seconds(
+            offer_answer: Histogram::seconds(
+                "offer_answer_seconds",
+                "From an offer to the agent's word.",
+            ),
+            placement: Histogram::seconds(
                 "opening_seconds",
                 "From a caller's opening packet until an agent has placed the flow.",
             ),
-            offers: Histogram::counts("opening_offers", "Offers until a flow was placed."),
+            offers_per_flow: Histogram::counts("opening_offers", "Offers until a flow was placed."),
             lookup: Histogram::seconds(
                 "lookup_seconds",
                 "From a packet of a flow that is not remembered until an agent holds it.",
             ),
-            verdict: Histogram::seconds(
+            flow_over: Histogram::seconds(
                 "flow_over_seconds",
                 "From a packet of a flow that nobody holds until its caller is told.",
             ),
@@ -41,8 +44,9 @@
 impl BalancerLatency {
     /// All of them.
     pub fn histograms(&self) -> Vec<Histogram> {
-        let BalancerLatency { offer, opening, offers, lookup, verdict } = self.clone();
-        vec![offer, opening, offers, lookup, verdict]
+        let BalancerLatency { offer_answer, placement, offers_per_flow, lookup, flow_over } =
+            self.clone();
+        vec![offer_answer, placement, offers_per_flow, lookup, flow_over]
     }
 }
 
@@ -54,7 +58,7 @@
     /// From a request's first packet to the first one of its answer.
     pub(crate) answer: Histogram,
     /// Time that flows have waited until there was room.
-    pub(crate) line: Histogram,
+    pub(crate) wait_queue: Histogram,
 }
 
 impl Default for AgentLatency {
@@ -68,7 +72,7 @@
                 "answer_seconds",
                 "From a request passed to the back end until the first packet of its answer.",
             ),
-            line: Histogram::seconds(
+            wait_queue: Histogram::seconds(
                 "line_seconds",
                 "Time that new flows have waited until the back end had room.",
             ),
@@ -79,6 +83,6 @@
 impl AgentLatency {
     /// All of them.
     pub fn histograms(&self) -> Vec<Histogram> {
-        vec![self.handshake.clone(), self.answer.clone(), self.line.clone()]
+        vec![self.handshake.clone(), self.answer.clone(), self.wait_queue.clone()]
     }
 }
--- a/crates/carried/src/offer_budget.rs
+++ b/crates/carried/src/offer_budget.rs
@@ -46,7 +46,7 @@
     }
 
     /// Whether less is left than one flow may need: a queue at a third agent, and a line.
-    pub(crate) fn is_spent(&mut self, now: Duration) -> bool {
+    pub(crate) fn is_exhausted(&mut self, now: Duration) -> bool {
         self.count(now);
         self.left < NEEDED
     }
--- a/crates/carried/src/pool.rs
+++ b/crates/carried/src/pool.rs
@@ -7,7 +7,7 @@
 use crate::offer_budget::OfferBudget;
 use crate::policy::{Policies, Policy};
 use crate::rank::Ranking;
-use crate::view::{AgentView, Distance, Location, Typical};
+use crate::view::{AgentView, Distance, Location, ServiceAverages};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -20,7 +20,7 @@
 /// So many agents, the first in the flow's ranking, are compared in a larger service, and as many of
 /// the balancer's own zone: balancers that know the same do not all choose the same, and each can
 /// tell later where a flow may live.
-pub(crate) const SAMPLE: usize = 8;
+pub(crate) const SAMPLE_SIZE: usize = 8;
 
 /// The agents of all services.
 #[derive(Debug, Default)]
@@ -50,11 +50,11 @@
             }
             self.by_service.entry(report.service.clone()).or_default().insert(agent);
         }
-        view.hear(now, report);
+        view.update(now, report);
     }
 
     /// Takes where an agent is; one that has said nothing else yet is passed over.
-    pub(crate) fn locate(&mut self, agent: &AgentId, location: Location) {
+    pub(crate) fn set_location(&mut self, agent: &AgentId, location: Location) {
         if let Some(view) = self.agents.get_mut(agent) {
             view.location = location;
             view.note_evacuated(&self.evacuated);
@@ -73,10 +73,10 @@
     pub(crate) fn is_evacuated(&self, service: &str) -> bool {
         let mut is_any = false;
         for (_, view) in self.of_service(service) {
-            if view.may_fail() {
+            if view.may_take_flows() {
                 return false;
             }
-            is_any |= view.is_kept_empty();
+            is_any |= view.is_only_evacuated();
         }
         is_any
     }
@@ -91,7 +91,7 @@
 
     /// Whether flows of a service are declined so often that repeated offers are not to be had.
     pub(crate) fn is_budget_spent(&mut self, now: Duration, service: &str) -> bool {
-        self.policies.has(Policy::OfferBudget) && self.budget(now, service).is_spent(now)
+        self.policies.has(Policy::OfferBudget) && self.budget(now, service).is_exhausted(now)
     }
 
     /// Takes what an offer of a flow costs that was offered `made` times before; `false` when it is
@@ -124,13 +124,13 @@
     }
 
     /// An agent has not answered a question that was asked then.
-    pub(crate) fn note_in_vain(&mut self, agent: &AgentId, asked_at: Duration) {
+    pub(crate) fn note_unanswered_query(&mut self, agent: &AgentId, asked_at: Duration) {
         if let Some(view) = self.agents.get_mut(agent) {
-            view.note_in_vain(asked_at);
+            view.note_unanswered_query(asked_at);
         }
     }
 
-    pub(crate) fn forget(&mut self, keep: impl Fn(&AgentId) -> bool) {
+    pub(crate) fn retain(&mut self, keep: impl Fn(&AgentId) -> bool) {
         self.agents.retain(|agent, _| keep(agent));
         for agents in self.by_service.values_mut() {
             agents.retain(&keep);
@@ -172,12 +172,13 @@
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
         noise: impl FnMut() -> f64,
     ) -> Option<AgentId> {
-        let cost = |view: &AgentView, typical: &Typical| view.cost(now, typical, self.policies);
+        let cost =
+            |view: &AgentView, typical: &ServiceAverages| view.cost(now, typical, self.policies);
         self.cheapest(now, interval, service, ranking, may_ask, noise, cost)
     }
 
     /// The agent of `service` where a flow waits for the shortest time until there is room.
-    pub(crate) fn shortest_line(
+    pub(crate) fn shortest_wait_queue(
         &self,
         now: Duration,
         interval: Duration,
@@ -186,8 +187,9 @@
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
         noise: impl FnMut() -> f64,
     ) -> Option<AgentId> {
-        let cost =
-            |view: &AgentView, typical: &Typical| view.line_cost(now, typical, self.policies);
+        let cost = |view: &AgentView, typical: &ServiceAverages| {
+            view.wait_queue_cost(now, typical, self.policies)
+        };
         self.cheapest(now, interval, service, ranking, may_ask, noise, cost)
     }
 
@@ -201,10 +203,10 @@
         ranking: Ranking,
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
         mut noise: impl FnMut() -> f64,
-        cost: impl Fn(&AgentView, &Typical) -> f64,
+        cost: impl Fn(&AgentView, &ServiceAverages) -> f64,
     ) -> Option<AgentId> {
         let alive = || self.accepting(service).filter(|(_, view)| !view.is_suspect(now, interval));
-        let typical = Typical::of(alive().map(|(_, view)| view));
+        let typical = ServiceAverages::of(alive().map(|(_, view)| view));
         let candidates = alive().filter(|(agent, view)| may_ask(agent, view));
         let candidates: Vec<_> =
             candidates.map(|(agent, view)| (ranking.rank(agent), agent, view)).collect();
@@ -229,7 +231,7 @@
         let suspects = self
             .accepting(service)
             .filter(|(agent, view)| view.is_suspect(now, interval) && may_ask(agent, view));
-        suspects.max_by_key(|(_, view)| view.heard_at()).map(|(agent, _)| *agent)
+        suspects.max_by_key(|(_, view)| view.reported_at()).map(|(agent, _)| *agent)
     }
 
     /// An agent of a service whose back end fails what it is asked, the emptiest one.
@@ -241,14 +243,14 @@
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
     ) -> Option<AgentId> {
         let failing = self.of_service(service).filter(|(agent, view)| {
-            view.may_fail() && !view.is_suspect(now, interval) && may_ask(agent, view)
+            view.may_take_flows() && !view.is_suspect(now, interval) && may_ask(agent, view)
         });
         failing.min_by_key(|(_, view)| view.report.waiting).map(|(agent, _)| *agent)
     }
 
     /// Whether agents of a service have begun to take new flows only just now.
     pub(crate) fn is_recovering(&self, now: Duration, service: &str) -> bool {
-        self.accepting(service).any(|(_, view)| view.has_just_come(now))
+        self.accepting(service).any(|(_, view)| view.is_newly_accepting(now))
     }
 
     /// Whether every agent of a service that takes new flows has just said that it is full.
@@ -261,7 +263,7 @@
     /// Whether any agent that was heard lately takes new flows, or would if its zone were not
     /// evacuated: callers are refused at once then.
     pub(crate) fn any_accepting(&self, now: Duration, interval: Duration) -> bool {
-        let takes = |view: &AgentView| view.may_fail() || view.is_kept_empty();
+        let takes = |view: &AgentView| view.may_take_flows() || view.is_only_evacuated();
         self.agents.values().any(|view| takes(view) && !view.is_suspect(now, interval))
     }
 
@@ -283,9 +285,9 @@
 }
 
 fn first(mut candidates: Vec<Ranked<'_>>) -> Vec<Ranked<'_>> {
-    if candidates.len() > SAMPLE {
-        candidates.select_nth_unstable_by_key(SAMPLE - 1, |(rank, _, _)| *rank);
-        candidates.truncate(SAMPLE);
+    if candidates.len() > SAMPLE_SIZE {
+        candidates.select_nth_unstable_by_key(SAMPLE_SIZE - 1, |(rank, _, _)| *rank);
+        candidates.truncate(SAMPLE_SIZE);
     }
     candidates
 }
--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -43,7 +43,7 @@
 
 impl StartTime {
     /// Of a process that says at `now` how many milliseconds it has run.
-    pub(crate) fn of(now: Duration, up_ms: u32) -> Self {
+    pub(crate) fn from_uptime(now: Duration, up_ms: u32) -> Self {
         StartTime(i64::try_from(now.as_millis()).unwrap_or(i64::MAX) - i64::from(up_ms))
     }
 
@@ -78,14 +78,14 @@
 
 /// What is typical of the agents of one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Typical {
+pub(crate) struct ServiceAverages {
     /// Time of one request, in seconds; never below the least.
     work: f64,
     /// Requests a slot.
     load: f64,
 }
 
-impl Typical {
+impl ServiceAverages {
     /// Means over `views`; agents that have measured nothing do not count for the work.
     pub(crate) fn of<'a>(views: impl Iterator<Item = &'a AgentView>) -> Self {
         let (mut work, mut measured, mut load, mut agents) = (0.0, 0.0, 0.0, 0.0);
@@ -98,7 +98,7 @@
             }
         }
         let work = if measured > 0.0 { work / measured } else { ASSUMED_WORK_SECONDS };
-        Typical { work: work.max(LEAST_WORK_SECONDS), load: load / f64::max(agents, 1.0) }
+        ServiceAverages { work: work.max(LEAST_WORK_SECONDS), load: load / f64::max(agents, 1.0) }
     }
 }
 
@@ -118,7 +118,7 @@
     pub(crate) location: Location,
     /// Its zone is evacuated, as the configuration in force here says.
     is_evacuated: bool,
-    heard_at: Duration,
+    reported_at: Duration,
     /// When it was heard first.
     first_heard: Duration,
     /// Since when it has said that it takes new flows; `None` while it does not.
@@ -128,7 +128,7 @@
     /// Offers in a row that it did not answer.
     unanswered: u32,
     /// When the first question was asked that it has not answered, nor anything since.
-    in_vain_since: Option<Duration>,
+    unresponsive_since: Option<Duration>,
 }
 
 impl AgentView {
@@ -141,40 +141,40 @@
                 region: String::new(),
             },
             is_evacuated: false,
-            heard_at: now,
+            reported_at: now,
             first_heard: now,
             accepts_since: None,
             placed_since: 0,
             unanswered: 0,
-            in_vain_since: None,
+            unresponsive_since: None,
         }
     }
 
     /// Takes the agent's word.
-    pub(crate) fn hear(&mut self, now: Duration, report: LoadReport) {
+    pub(crate) fn update(&mut self, now: Duration, report: LoadReport) {
         self.report = report;
-        self.heard_at = now;
+        self.reported_at = now;
         self.accepts_since = self.is_accepting().then(|| self.accepts_since.unwrap_or(now));
         self.placed_since = 0;
         self.unanswered = 0;
-        self.in_vain_since = None;
+        self.unresponsive_since = None;
     }
 
     /// Takes any other word of the agent: it lives.
     pub(crate) fn note_alive(&mut self) {
-        self.in_vain_since = None;
+        self.unresponsive_since = None;
     }
 
     /// A question that was asked then has had no answer.
-    pub(crate) fn note_in_vain(&mut self, asked_at: Duration) {
-        if self.heard_at <= asked_at {
-            self.in_vain_since.get_or_insert(asked_at);
+    pub(crate) fn note_unanswered_query(&mut self, asked_at: Duration) {
+        if self.reported_at <= asked_at {
+            self.unresponsive_since.get_or_insert(asked_at);
         }
     }
 
     /// Since when it has answered nothing that it was asked.
-    pub(crate) fn in_vain_since(&self) -> Option<Duration> {
-        self.in_vain_since
+    pub(crate) fn unresponsive_since(&self) -> Option<Duration> {
+        self.unresponsive_since
     }
 
     pub(crate) fn note_offer(&mut self) {
@@ -198,7 +198,7 @@
     }
 
     /// Whether only the evacuation of its zone keeps new flows away.
-    pub(crate) fn is_kept_empty(&self) -> bool {
+    pub(crate) fn is_only_evacuated(&self) -> bool {
         let takes = matches!(
             self.report.condition,
             BackendCondition::Accepting | BackendCondition::Failing | BackendCondition::Silent
@@ -219,29 +219,29 @@
 
     /// Whether it has heard of a back end that lives.
     pub(crate) fn has_backend(&self) -> bool {
-        !self.has_ended() && self.report.condition != BackendCondition::Unknown
+        !self.backend_ended() && self.report.condition != BackendCondition::Unknown
     }
 
     /// Whether its back end's process has ended.
-    pub(crate) fn has_ended(&self) -> bool {
+    pub(crate) fn backend_ended(&self) -> bool {
         self.report.condition == BackendCondition::Ended
     }
 
     /// When its back end started, seen from this process's start, where its agent has run ever
     /// since; nothing below 0 is told from 0.
-    fn began_at(&self) -> Option<Duration> {
+    fn backend_started_at(&self) -> Option<Duration> {
         let before = Duration::from_millis(u64::from(self.report.begun_ms_ago?));
-        Some(self.heard_at.saturating_sub(before))
+        Some(self.reported_at.saturating_sub(before))
     }
 
     /// When the agent's process started; `None` when that is long ago.
     pub(crate) fn started_at(&self) -> Option<StartTime> {
-        Some(StartTime::of(self.heard_at, self.report.up_ms?))
+        Some(StartTime::from_uptime(self.reported_at, self.report.up_ms?))
     }
 
     /// Whether its back end started after this process did, or no more than `spread` before it,
     /// and its agent has run ever since.
-    pub(crate) fn began_after(&self, now: Duration, spread: Duration) -> bool {
+    pub(crate) fn backend_started_after(&self, now: Duration, spread: Duration) -> bool {
         self.report.begun_ms_ago.is_some_and(|milliseconds| {
             let age = Duration::from_millis(u64::from(milliseconds)) + self.age(now);
             age <= now + spread
@@ -249,12 +249,12 @@
     }
 
     /// Whether it was heard as soon as both had started.
-    pub(crate) fn was_heard_within(&self, delay: Duration) -> bool {
-        self.began_at().is_some_and(|at| self.first_heard <= at + delay)
+    pub(crate) fn was_discovered_within(&self, delay: Duration) -> bool {
+        self.backend_started_at().is_some_and(|at| self.first_heard <= at + delay)
     }
 
     /// Whether new flows are taken, be it as a last resort.
-    pub(crate) fn may_fail(&self) -> bool {
+    pub(crate) fn may_take_flows(&self) -> bool {
         let is_failing = self.report.condition == BackendCondition::Failing && !self.is_evacuated;
         self.is_accepting() || is_failing
     }
@@ -265,7 +265,7 @@
     }
 
     /// Whether it has begun to take new flows only just now.
-    pub(crate) fn has_just_come(&self, now: Duration) -> bool {
+    pub(crate) fn is_newly_accepting(&self, now: Duration) -> bool {
         self.accepts_since.is_some_and(|since| now.saturating_sub(since) < JUST_COME)
     }
 
@@ -280,12 +280,12 @@
 
     /// Time since it was heard.
     pub(crate) fn age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.heard_at)
+        now.saturating_sub(self.reported_at)
     }
 
     /// When it was heard last.
-    pub(crate) fn heard_at(&self) -> Duration {
-        self.heard_at
+    pub(crate) fn reported_at(&self) -> Duration {
+        self.reported_at
     }
 
     fn capacity(&self) -> f64 {
@@ -301,7 +301,7 @@
     }
 
     /// Time of one request, in seconds, as far as is known.
-    fn work(&self, now: Duration, typical: &Typical, policies: Policies) -> f64 {
+    fn work(&self, now: Duration, typical: &ServiceAverages, policies: Policies) -> f64 {
         let measured = self.reported_work().filter(|_| policies.has(Policy::WeighWork));
         let Some(measured) = measured else { return typical.work };
         if !policies.has(Policy::Drift) {
@@ -317,7 +317,12 @@
     }
 
     /// Seconds until a flow that waits there until there is room is answered, as far as is known.
-    pub(crate) fn line_cost(&self, now: Duration, typical: &Typical, policies: Policies) -> f64 {
+    pub(crate) fn wait_queue_cost(
+        &self,
+        now: Duration,
+        typical: &ServiceAverages,
+        policies: Policies,
+    ) -> f64 {
         let ahead = f64::from(self.report.waiting) + f64::from(self.report.in_line);
         let rounds = (ahead + f64::from(self.placed_since) + 1.0) / self.capacity();
         self.work(now, typical, policies) * self.slowness(policies) * rounds
@@ -325,7 +330,7 @@
     }
 
     /// Seconds until a new request there would be answered, as far as is known.
-    pub(crate) fn cost(&self, now: Duration, typical: &Typical, policies: Policies) -> f64 {
+    pub(crate) fn cost(&self, now: Duration, typical: &ServiceAverages, policies: Policies) -> f64 {
         let work = self.work(now, typical, policies);
         let half_lives = self.age(now).as_secs_f64() / (work * LOAD_HALF_REQUESTS);
         let load = match policies.has(Policy::Drift) {
--- a/crates/carried/tests/incarnations.rs
+++ b/crates/carried/tests/incarnations.rs
@@ -188,12 +188,12 @@
         service: "sheets".to_owned(),
         ..word(&life(BIRTHS[2]), sequence, true)
     };
-    assert_eq!(agent.take_report(milliseconds(5), &foreign(1)), ReportOutcome::Foreign);
+    assert_eq!(agent.take_report(milliseconds(5), &foreign(1)), ReportOutcome::OtherService);
     assert!(!agent.knows_backend(), "nothing was learned of it");
     beat(&mut agent, 10, BIRTHS[0], 5, true);
     for sequence in 2..=9 {
         let now = milliseconds(sequence * BEAT);
-        assert_eq!(agent.take_report(now, &foreign(sequence)), ReportOutcome::Foreign);
+        assert_eq!(agent.take_report(now, &foreign(sequence)), ReportOutcome::OtherService);
     }
     let sheets = offer_to("sheets", 1, 1, Admission::FreeSlot);
     agent.handle_peer(milliseconds(9 * BEAT), balancer_address(), &sheets);
--- a/crates/carried/tests/late_heartbeats.rs
+++ b/crates/carried/tests/late_heartbeats.rs
@@ -28,7 +28,7 @@
 fn a_late_heartbeat_of_a_start_that_this_process_never_saw_retires_nobody() {
     let mut agent = agent(false);
     beat(&mut agent, 10, "living", 5, true);
-    assert_eq!(beat(&mut agent, 400, "crashed", 37, true), ReportOutcome::Doubted);
+    assert_eq!(beat(&mut agent, 400, "crashed", 37, true), ReportOutcome::Unconfirmed);
     for round in 1..=3 {
         let outcome = beat(&mut agent, 10 + round * BEAT, "living", 5 + round, true);
         assert_eq!(outcome, ReportOutcome::Updated, "the living one's word goes on counting");
@@ -40,7 +40,7 @@
 fn one_that_comes_before_the_living_start_is_heard_is_put_right_within_two_heartbeats() {
     let mut agent = agent(false);
     beat(&mut agent, 10, "crashed", 37, true);
-    assert_eq!(beat(&mut agent, 300, "living", 5, true), ReportOutcome::Doubted);
+    assert_eq!(beat(&mut agent, 300, "living", 5, true), ReportOutcome::Unconfirmed);
     assert_eq!(beat(&mut agent, 300 + BEAT, "living", 6, true), ReportOutcome::Started);
     assert_eq!(beat(&mut agent, 300 + 2 * BEAT, "living", 7, true), ReportOutcome::Updated);
 }
@@ -50,7 +50,7 @@
     let mut agent = agent(false);
     beat(&mut agent, 10, "living", 5, true);
     for (at, sequence) in [(400, 36), (410, 37), (430, 38)] {
-        assert_eq!(beat(&mut agent, at, "crashed", sequence, true), ReportOutcome::Doubted);
+        assert_eq!(beat(&mut agent, at, "crashed", sequence, true), ReportOutcome::Unconfirmed);
     }
     assert_eq!(beat(&mut agent, 10 + BEAT, "living", 6, true), ReportOutcome::Updated);
 }
@@ -71,7 +71,7 @@
     let mut agent = agent(false);
     beat(&mut agent, 10, "leaving", 5, false);
     for (at, id, sequence) in [(20, "crashed", 37), (30, "other", 1)] {
-        assert_eq!(beat(&mut agent, at, id, sequence, true), ReportOutcome::Doubted);
+        assert_eq!(beat(&mut agent, at, id, sequence, true), ReportOutcome::Unconfirmed);
         assert!(!takes_flows(&mut agent, at, 1), "{id}");
     }
 }
--- a/crates/carried/tests/stale_input.rs
+++ b/crates/carried/tests/stale_input.rs
@@ -67,11 +67,15 @@
 #[test]
 fn what_comes_after_a_pause_was_read_has_not_waited() {
     let mut age = InputAge::default();
-    assert_eq!(age.waited(milliseconds(500)), milliseconds(0));
+    assert_eq!(age.max_wait(milliseconds(500)), milliseconds(0));
     age.note_pause(milliseconds(500));
-    assert_eq!(age.waited(milliseconds(900)), milliseconds(400), "it may have come at any moment");
+    assert_eq!(
+        age.max_wait(milliseconds(900)),
+        milliseconds(400),
+        "it may have come at any moment"
+    );
     age.note_batch(milliseconds(900), true);
-    assert_eq!(age.waited(milliseconds(4_000)), milliseconds(0), "it came just now");
+    assert_eq!(age.max_wait(milliseconds(4_000)), milliseconds(0), "it came just now");
 }
 
 #[test]
@@ -79,7 +83,7 @@
     let mut age = InputAge::default();
     age.note_batch(milliseconds(100), false);
     age.note_batch(milliseconds(160), false);
-    assert_eq!(age.waited(milliseconds(220)), milliseconds(120));
+    assert_eq!(age.max_wait(milliseconds(220)), milliseconds(120));
     age.note_batch(milliseconds(220), true);
-    assert_eq!(age.waited(milliseconds(230)), milliseconds(0));
+    assert_eq!(age.max_wait(milliseconds(230)), milliseconds(0));
 }
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -106,7 +106,7 @@
 
     fn take_local(&mut self, node: usize) {
         let began = self.now;
-        self.note_waited(node, self.nodes[node].inbox.local_age.waited(began));
+        self.note_waited(node, self.nodes[node].inbox.local_age.max_wait(began));
         for _ in 0..DATAGRAMS_A_TURN {
             let Some(packet) = self.nodes[node].inbox.local.pop_front() else {
                 return self.nodes[node].inbox.local_age.note_batch(began, true);
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -41,7 +41,7 @@
     fn note_store(&mut self, now: Duration, answers: bool);
     /// A back end's heartbeat; no core but an agent's is sent any.
     fn take_report(&mut self, _now: Duration, _report: &BackendReport) -> ReportOutcome {
-        ReportOutcome::Foreign
+        ReportOutcome::OtherService
     }
     /// A back end's word that could not be read.
     fn note_unreadable(&mut self) {}
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -271,7 +271,7 @@
         RequestKind::Readiness => text_answer(StatusCode::SERVICE_UNAVAILABLE, ""),
         RequestKind::Report(report) => {
             match tell(&commands, |done| Command::Report(report, done)).await {
-                Some(ReportOutcome::Foreign) => text_answer(StatusCode::CONFLICT, ""),
+                Some(ReportOutcome::OtherService) => text_answer(StatusCode::CONFLICT, ""),
                 outcome => acknowledge(outcome.map(|_| ())),
             }
         }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -115,7 +115,7 @@
 
     fn take_local(&mut self, buffer: &mut [u8]) {
         let began = self.now();
-        self.core.note_local_waited(self.local_age.waited(began));
+        self.core.note_local_waited(self.local_age.max_wait(began));
         for _ in 0..DATAGRAMS_A_TURN {
             let Ok((length, _)) = self.local.try_recv_from(buffer) else {
                 return self.local_age.note_batch(began, true);
