--- a/crates/carried/src/backend.rs
+++ b/crates/carried/src/backend.rs
@@ -1,116 +1,119 @@
-//! The back end beside an agent, as it describes itself.
+//! State of the back end beside an agent, as its own heartbeats report it.
 
 use crate::incarnation::{Incarnation, Succession};
 use crate::message::BackendCondition;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Slots that are assumed until the back end has told its own.
-const ASSUMED_CAPACITY: u16 = 4;
-/// Earlier starts that are remembered, so that a late heartbeat revives none.
-const MOST_REMEMBERED: usize = 16;
-/// Numbers of the heartbeats of a start that has just begun: the first ones may be refused while the
-/// agent itself starts.
-const FIRST_SEQUENCES: u64 = 3;
-/// Heartbeats of a start that lives are about a second apart; those that were held up on their way come
-/// together.
-const REPEATED_AFTER: Duration = Duration::from_millis(500);
-/// Heartbeats come seconds late at most. A start that was born before the known one, but is heard for
-/// longer than that while the known one is silent, lives: the clock that told its birth was set back.
-const LATEST_HEARTBEAT: Duration = Duration::from_secs(5);
+/// Capacity assumed until the first heartbeat reports the real one.
+const DEFAULT_CAPACITY: u16 = 4;
+/// Earlier starts that are remembered, so that a delayed heartbeat does not revive one of them.
+const MAX_REMEMBERED_STARTS: usize = 16;
+/// Heartbeats up to this sequence number count as those of a start that has just begun. It is more
+/// than one because the agent may refuse the first heartbeats while it is starting itself.
+const MAX_INITIAL_SEQUENCE: u64 = 3;
+/// Minimum time between two heartbeats that confirm an unconfirmed start. A live start sends a
+/// heartbeat about once per second, whereas heartbeats delayed on the network arrive in one burst.
+const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Heartbeats are delayed by a few seconds at most. If a start with an earlier birth time is
+/// received for longer than this while the current one is silent, it is the live one: the clock
+/// that its birth time comes from was set back.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(5);
 
-/// A back end's own heartbeat.
+/// A heartbeat sent by the back end itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendReport {
-    /// Names this start of the back end.
+    /// Identifies this start of the back end.
     pub incarnation: Incarnation,
-    /// The service that it serves.
+    /// Service that the back end serves.
     pub service: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub capacity: u16,
-    /// It takes new flows; otherwise it leaves.
+    /// Whether it takes new flows; if not, it is leaving.
     pub is_ready: bool,
-    /// How much longer it is slow from its start.
+    /// Time until its warm-up after the start ends; it is slower until then.
     pub warm_up_left: Duration,
-    /// Rises with each heartbeat of the same start.
+    /// Increases with each heartbeat of the same start.
     pub sequence: u64,
 }
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportOutcome {
-    /// A start that was not known: flows of an earlier one are over.
+    /// A new start has replaced the current one: flows of the earlier start are over.
     Started,
-    /// Newer than what was known.
+    /// The heartbeat was newer than the known state and has updated it.
     Updated,
-    /// Older than what is known; nothing changed.
+    /// The heartbeat was older than the known state; nothing changed.
     Outdated,
-    /// Of another start than the known one, which may have been over for long: believed once it is
-    /// repeated.
+    /// From a start with another id than the current one. It may be a delayed heartbeat of a start
+    /// that ended long ago, so it is accepted only once it is repeated.
     Unconfirmed,
-    /// Of a back end of another service than the one beside this agent: it names none to use.
+    /// From a back end of another service than the one beside this agent. It is ignored.
     OtherService,
 }
 
-/// What is known of the back end.
+/// What the agent knows about its back end.
 ///
-/// A heartbeat that was held up on its way may come after its sender's crash, when the next start has
-/// long been heard, or before that one is heard by an agent that has just started.
+/// A heartbeat that was delayed on the network may arrive after its sender crashed: when the next
+/// start has been reporting for long, or before an agent that has just started receives the first
+/// heartbeat of that next start.
 ///
 /// Invariants:
-/// - A start that lives is heard again within two of its heartbeats, whatever late ones come.
-/// - Late heartbeats never end the leave of the start that lives.
-/// - What a start has said binds that start alone: a later one under the same id begins anew, and is
-///   taken at its first heartbeat.
-/// - The service is the one of the settings, whatever a heartbeat says.
+/// - A live start is accepted again within two of its heartbeats, whichever delayed ones arrive.
+/// - Delayed heartbeats never revoke the leaving state of the live start.
+/// - What a start has reported applies to that start only: a later start under the same id begins
+///   with fresh state and is accepted at its first heartbeat.
+/// - The service is the one from the settings, whatever a heartbeat says.
 #[derive(Debug)]
 pub(crate) struct Backend {
     service: String,
-    known: Option<Known>,
-    /// A start under another id that has spoken since the known one did last.
-    doubted: Option<Unconfirmed>,
-    /// A start under the known one's id, born before it, that goes on speaking.
-    backdated: Option<Unconfirmed>,
-    /// The back end called itself healthy when it was asked at the agent's start.
-    found_healthy: bool,
-    /// Starts that were known before: a heartbeat of theirs is late, or the known one's was.
-    former: VecDeque<Incarnation>,
-    /// Starts that have said that they are gone.
+    current: Option<CurrentStart>,
+    /// A start under another id, received since the last heartbeat of the current one.
+    unconfirmed: Option<UnconfirmedStart>,
+    /// A start under the current id with an earlier birth time that keeps sending heartbeats.
+    backdated: Option<UnconfirmedStart>,
+    /// The health check at the agent's start found the back end healthy.
+    is_healthy_at_start: bool,
+    /// Starts that were current before. A heartbeat from one of them means that either this
+    /// heartbeat or the one that made the current start current was delayed.
+    previous: VecDeque<Incarnation>,
+    /// Starts that have sent a departure notice.
     departed: VecDeque<Incarnation>,
 }
 
 #[derive(Debug)]
-struct Known {
+struct CurrentStart {
     incarnation: Incarnation,
     sequence: u64,
-    heard_at: Duration,
+    received_at: Duration,
     capacity: u16,
     is_leaving: bool,
-    /// It has said that it is gone.
+    /// Whether it has sent a departure notice.
     has_departed: bool,
     cold_until: Duration,
 }
 
-/// A start that is believed when it speaks again.
+/// A start that is not accepted until it sends another heartbeat.
 #[derive(Debug)]
-struct Unconfirmed {
+struct UnconfirmedStart {
     incarnation: Incarnation,
     sequence: u64,
-    since: Duration,
+    first_received: Duration,
     is_leaving: bool,
     cold_until: Duration,
 }
 
 impl Backend {
-    /// A back end of which only the service is known, from the settings.
+    /// A back end of which only the service, taken from the settings, is known.
     pub(crate) fn new(service: String) -> Self {
         Backend {
             service,
-            known: None,
-            doubted: None,
+            current: None,
+            unconfirmed: None,
             backdated: None,
-            found_healthy: false,
-            former: VecDeque::new(),
+            is_healthy_at_start: false,
+            previous: VecDeque::new(),
             departed: VecDeque::new(),
         }
     }
@@ -119,101 +122,103 @@
         &self.service
     }
 
-    /// Whether a heartbeat was taken.
+    /// Whether any heartbeat has been accepted.
     pub(crate) fn has_reported(&self) -> bool {
-        self.known.is_some()
+        self.current.is_some()
     }
 
     pub(crate) fn take_report(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
         if report.service != self.service {
             return ReportOutcome::OtherService;
         }
-        if self.departed.iter().any(|gone| is_over(report, gone)) {
+        if self.departed.iter().any(|gone| belongs_to_departed(report, gone)) {
             return ReportOutcome::Outdated;
         }
-        let Some(known) = &self.known else {
-            self.know(now, report, false);
+        let Some(current) = &self.current else {
+            self.set_current(now, report, false);
             return ReportOutcome::Updated;
         };
-        match report.incarnation.compare(&known.incarnation) {
-            Succession::Same if report.sequence <= known.sequence => ReportOutcome::Outdated,
+        match report.incarnation.compare(&current.incarnation) {
+            Succession::Same if report.sequence <= current.sequence => ReportOutcome::Outdated,
             Succession::Same => {
-                // A start that has said that it leaves does not come back.
-                let was_leaving = known.is_leaving;
-                self.know(now, report, was_leaving);
+                // A start that has reported that it is leaving does not become ready again.
+                let was_leaving = current.is_leaving;
+                self.set_current(now, report, was_leaving);
                 ReportOutcome::Updated
             }
-            Succession::Later => self.begin(now, report),
+            Succession::Later => self.replace_current(now, report),
             Succession::Earlier => self.take_backdated(now, report),
             Succession::Unnamed => ReportOutcome::Outdated,
-            Succession::OtherId => self.take_other(now, report),
+            Succession::OtherId => self.take_other_id(now, report),
         }
     }
 
-    /// Takes a heartbeat under another id than the known one's.
-    fn take_other(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
-        let came_before = |former| report.incarnation.compare(former) == Succession::Earlier;
-        if self.former.iter().any(came_before) {
+    /// Handles a heartbeat whose id differs from that of the current start.
+    fn take_other_id(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
+        let is_older_start = |previous| report.incarnation.compare(previous) == Succession::Earlier;
+        if self.previous.iter().any(is_older_start) {
             return ReportOutcome::Outdated;
         }
         if !self.is_new_start(report) && !self.is_repeated(now, report) {
-            doubt(&mut self.doubted, now, report);
+            set_unconfirmed(&mut self.unconfirmed, now, report);
             return ReportOutcome::Unconfirmed;
         }
-        self.begin(now, report)
+        self.replace_current(now, report)
     }
 
-    /// Takes a heartbeat under the known one's id that tells of an earlier birth.
+    /// Handles a heartbeat with the current start's id and an earlier birth time.
     fn take_backdated(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
-        let heard_at = self.known.as_ref().map_or(Duration::ZERO, |known| known.heard_at);
-        let lives = self.backdated.as_ref().is_some_and(|earlier| {
+        let received_at =
+            self.current.as_ref().map_or(Duration::ZERO, |current| current.received_at);
+        let is_alive = self.backdated.as_ref().is_some_and(|earlier| {
             let is_same = earlier.incarnation == report.incarnation;
-            let both_since = earlier.since.max(heard_at);
-            let is_late = now.saturating_sub(both_since) >= LATEST_HEARTBEAT;
+            let both_since = earlier.first_received.max(received_at);
+            let is_late = now.saturating_sub(both_since) >= MAX_HEARTBEAT_DELAY;
             is_same && report.sequence > earlier.sequence && is_late
         });
-        if lives {
-            return self.begin(now, report);
+        if is_alive {
+            return self.replace_current(now, report);
         }
-        doubt(&mut self.backdated, now, report);
+        set_unconfirmed(&mut self.backdated, now, report);
         ReportOutcome::Outdated
     }
 
-    /// A start has taken the known one's place.
-    fn begin(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
-        if let Some(known) = self.known.take() {
-            remember(&mut self.former, known.incarnation);
+    /// Replaces the current start by the one that sent `report`.
+    fn replace_current(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
+        if let Some(current) = self.current.take() {
+            remember(&mut self.previous, current.incarnation);
         }
-        self.know(now, report, false);
+        self.set_current(now, report, false);
         ReportOutcome::Started
     }
 
-    /// Whether a heartbeat is among the first ones of a start that can have followed the known one.
+    /// Whether a heartbeat is one of the first of a start that may have followed the current one.
     fn is_new_start(&self, report: &BackendReport) -> bool {
         let may_follow =
-            self.known.as_ref().is_none_or(|known| !known.is_leaving || known.has_departed);
-        let is_first = report.sequence <= FIRST_SEQUENCES;
-        may_follow && is_first && !self.former.contains(&report.incarnation)
+            self.current.as_ref().is_none_or(|current| !current.is_leaving || current.has_departed);
+        let is_first = report.sequence <= MAX_INITIAL_SEQUENCE;
+        may_follow && is_first && !self.previous.contains(&report.incarnation)
     }
 
-    /// Whether a doubted start speaks again, later than heartbeats come that were held up together.
+    /// Whether an unconfirmed start has sent another heartbeat, later than heartbeats that were
+    /// delayed together would arrive.
     fn is_repeated(&self, now: Duration, report: &BackendReport) -> bool {
-        self.doubted.as_ref().is_some_and(|doubted| {
-            let is_later = now.saturating_sub(doubted.since) >= REPEATED_AFTER;
-            let is_same = doubted.incarnation == report.incarnation;
-            is_same && report.sequence > doubted.sequence && is_later
+        self.unconfirmed.as_ref().is_some_and(|unconfirmed| {
+            let is_later = now.saturating_sub(unconfirmed.first_received) >= MIN_REPEAT_INTERVAL;
+            let is_same = unconfirmed.incarnation == report.incarnation;
+            is_same && report.sequence > unconfirmed.sequence && is_later
         })
     }
 
-    fn know(&mut self, now: Duration, report: &BackendReport, was_leaving: bool) {
-        self.doubted = None;
-        if self.known.as_ref().is_none_or(|known| known.incarnation != report.incarnation) {
+    fn set_current(&mut self, now: Duration, report: &BackendReport, was_leaving: bool) {
+        self.unconfirmed = None;
+        if self.current.as_ref().is_none_or(|current| current.incarnation != report.incarnation) {
             self.backdated = None;
         }
-        self.known = Some(Known {
+        self.current = Some(CurrentStart {
             incarnation: report.incarnation.clone(),
             sequence: report.sequence,
-            heard_at: now,
+            received_at: now,
             capacity: report.capacity,
             is_leaving: was_leaving || !report.is_ready,
             has_departed: false,
@@ -221,83 +226,87 @@
         });
     }
 
-    /// A start says that it leaves or is gone. One that tells no birth means the known start of its id:
-    /// nothing new is given to a back end that may be leaving.
+    /// Handles a notice that a start is leaving or gone. A notice without a birth time is taken to
+    /// mean the current start of that id: a back end that may be leaving must get no new flows.
     pub(crate) fn take_departure(&mut self, gone: &Incarnation) {
-        if self.doubted.as_ref().is_some_and(|doubted| doubted.incarnation == *gone) {
-            self.doubted = None;
+        if self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.incarnation == *gone) {
+            self.unconfirmed = None;
         }
         let mut over = gone;
-        match &mut self.known {
-            Some(known) if ends(gone, &known.incarnation) => {
-                known.is_leaving = true;
-                known.has_departed = true;
-                over = if gone.born_ms.is_none() { &known.incarnation } else { gone };
+        match &mut self.current {
+            Some(current) if departure_ends(gone, &current.incarnation) => {
+                current.is_leaving = true;
+                current.has_departed = true;
+                over = if gone.born_ms.is_none() { &current.incarnation } else { gone };
             }
             Some(_) => {}
-            // Its agent has forgotten it: from now on only another start is taken.
-            None => self.found_healthy = false,
+            // The agent has no record of it (it was restarted): from now on only another start is
+            // accepted.
+            None => self.is_healthy_at_start = false,
         }
         remember(&mut self.departed, over.clone());
     }
 
-    /// The back end answered a question about its health, before it sent a heartbeat.
+    /// Records the answer to a health check, made before the back end has sent a heartbeat.
     pub(crate) fn take_health(&mut self, is_healthy: bool) {
-        self.found_healthy = is_healthy;
+        self.is_healthy_at_start = is_healthy;
     }
 
     pub(crate) fn condition(&self) -> BackendCondition {
-        let doubts_leave = self.doubted.as_ref().is_some_and(|doubted| doubted.is_leaving);
-        match &self.known {
-            Some(known) if known.is_leaving || doubts_leave => BackendCondition::Leaving,
+        let unconfirmed_leaves =
+            self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.is_leaving);
+        match &self.current {
+            Some(current) if current.is_leaving || unconfirmed_leaves => BackendCondition::Leaving,
             Some(_) => BackendCondition::Accepting,
-            None if self.found_healthy => BackendCondition::Accepting,
+            None if self.is_healthy_at_start => BackendCondition::Accepting,
             None => BackendCondition::Unknown,
         }
     }
 
     pub(crate) fn capacity(&self) -> u16 {
-        self.known.as_ref().map_or(ASSUMED_CAPACITY, |known| known.capacity.max(1))
+        self.current.as_ref().map_or(DEFAULT_CAPACITY, |current| current.capacity.max(1))
     }
 
     pub(crate) fn is_cold(&self, now: Duration) -> bool {
-        let known = self.known.as_ref().map(|known| known.cold_until);
-        let doubted = self.doubted.as_ref().map(|doubted| doubted.cold_until);
-        [known, doubted].into_iter().flatten().any(|until| now < until)
+        let current = self.current.as_ref().map(|current| current.cold_until);
+        let unconfirmed = self.unconfirmed.as_ref().map(|unconfirmed| unconfirmed.cold_until);
+        [current, unconfirmed].into_iter().flatten().any(|until| now < until)
     }
 }
 
-/// Whether a heartbeat is one of a start that has said that it is gone, or of one before it.
-fn is_over(report: &BackendReport, gone: &Incarnation) -> bool {
+/// Whether a heartbeat comes from a start that has sent a departure notice, or from an earlier one.
+fn belongs_to_departed(report: &BackendReport, gone: &Incarnation) -> bool {
     match (report.incarnation.compare(gone), gone.born_ms) {
-        // Which start was meant was not told: the first ones of a start come after that.
-        (Succession::Later, None) => report.sequence > FIRST_SEQUENCES,
+        // The notice did not say which start it meant: the first heartbeats of a new start come
+        // after it.
+        (Succession::Later, None) => report.sequence > MAX_INITIAL_SEQUENCE,
         (Succession::Later | Succession::OtherId, _) => false,
         (Succession::Same | Succession::Earlier | Succession::Unnamed, _) => true,
     }
 }
 
-/// Whether a departure ends the known start: it is the one that goes, or has been followed by it.
-fn ends(gone: &Incarnation, known: &Incarnation) -> bool {
-    matches!(gone.compare(known), Succession::Same | Succession::Later | Succession::Unnamed)
+/// Whether a departure notice ends the current start: it names this start or a later one, or names
+/// none.
+fn departure_ends(gone: &Incarnation, current: &Incarnation) -> bool {
+    matches!(gone.compare(current), Succession::Same | Succession::Later | Succession::Unnamed)
 }
 
-/// Holds a start whose word is not believed yet.
-fn doubt(held: &mut Option<Unconfirmed>, now: Duration, report: &BackendReport) {
-    let same = held.as_ref().filter(|doubted| doubted.incarnation == report.incarnation);
-    let since = same.map_or(now, |doubted| doubted.since);
-    *held = Some(Unconfirmed {
+/// Stores a start that is not accepted yet.
+fn set_unconfirmed(held: &mut Option<UnconfirmedStart>, now: Duration, report: &BackendReport) {
+    let same = held.as_ref().filter(|unconfirmed| unconfirmed.incarnation == report.incarnation);
+    let first_received = same.map_or(now, |unconfirmed| unconfirmed.first_received);
+    *held = Some(UnconfirmedStart {
         incarnation: report.incarnation.clone(),
         sequence: report.sequence,
-        since,
+        first_received,
         is_leaving: !report.is_ready,
         cold_until: now + report.warm_up_left,
     });
 }
 
-/// Adds a start to the ones remembered, in place of the oldest.
+/// Adds a start to the remembered ones, dropping the oldest if there are too many.
 fn remember(starts: &mut VecDeque<Incarnation>, start: Incarnation) {
-    if starts.len() == MOST_REMEMBERED {
+    if starts.len() == MAX_REMEMBERED_STARTS {
         starts.pop_front();
     }
     starts.push_back(start);
--- a/crates/carried/src/breaker.rs
+++ b/crates/carried/src/breaker.rs
@@ -1,32 +1,33 @@
-//! The circuit breaker of one back end, as `charts/breaker.toml` describes it.
+//! Circuit breaker for one back end, with the states and events of `charts/breaker.toml`.
 //!
-//! A back end may call itself healthy and fail what it is asked; one that fails at once even looks
-//! the fastest of all. Its answers tell.
+//! A back end may report itself healthy and still fail every request; one that fails immediately
+//! even appears to be the fastest. The breaker therefore judges by the outcomes of requests.
 
 use loftdrift_charts::{ChartNames, TypedChart};
 use std::sync::LazyLock;
 use std::time::Duration;
 
-/// Share of a new outcome in the share of failures.
-const NEW_SHARE: f64 = 0.15;
-/// The breaker opens when failures make up so much; two in a row are enough, one never is.
-const TRIPS_AT: f64 = 0.25;
-/// Good answers in a row that close the breaker.
-const RECOVERED_AFTER: u32 = 5;
-/// First rest of a back end that fails.
-const FIRST_REST: Duration = Duration::from_secs(1);
-/// Longest rest: it doubles with each failure that follows soon.
-const LONGEST_REST: Duration = Duration::from_secs(4);
-/// A breaker that has been closed for so long begins with the first rest again.
-const STEADY_AFTER: Duration = Duration::from_secs(10);
+/// Weight of the latest outcome in the moving average of failures.
+const OUTCOME_WEIGHT: f64 = 0.15;
+/// Failure rate at which the breaker opens: two failures in a row reach it, a single one never
+/// does.
+const TRIP_THRESHOLD: f64 = 0.25;
+/// Consecutive successes after which a half-open breaker closes.
+const RECOVERY_SUCCESSES: u32 = 5;
+/// How long the breaker stays open the first time.
+const INITIAL_OPEN_DURATION: Duration = Duration::from_secs(1);
+/// Upper bound of the open duration, which doubles with each failure that soon follows the last.
+const MAX_OPEN_DURATION: Duration = Duration::from_secs(4);
+/// The open duration returns to its initial value once the breaker has been closed for this long.
+const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(10);
 
 static CHART: LazyLock<TypedChart<BreakerState, BreakerEvent>> = LazyLock::new(|| {
     let text = include_str!("../../../charts/breaker.toml");
-    // Built into the program; a test reads it.
+    // The text is compiled in, and a test parses it.
     TypedChart::parse("charts/breaker.toml", text).expect("a chart without findings")
 });
 
-/// Where the breaker stands.
+/// State of the breaker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BreakerState {
     Closed,
@@ -42,7 +43,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BreakerEvent {
     Tripped,
-    Rested,
+    OpenExpired,
     Recovered,
     Failed,
 }
@@ -50,100 +51,102 @@
 impl ChartNames for BreakerEvent {
     const NAMES: &'static [(Self, &'static str)] = &[
         (Self::Tripped, "tripped"),
-        (Self::Rested, "rested"),
+        (Self::OpenExpired, "rested"),
         (Self::Recovered, "recovered"),
         (Self::Failed, "failed"),
     ];
 }
 
-/// The breaker.
 #[derive(Debug)]
 pub(crate) struct Breaker {
     state: BreakerState,
-    /// Failures among the latest outcomes, 0 to 1.
-    failing: f64,
-    /// Good answers in a row while on trial.
-    good: u32,
-    /// How long the rest under way lasts.
-    rest: Duration,
-    /// How long the one after it will last; twice as long, unless the breaker stays closed.
-    next_rest: Duration,
-    /// When the state changed last.
-    since: Duration,
+    /// Moving average of failures among the latest outcomes, from 0 to 1.
+    failure_rate: f64,
+    /// Consecutive successes in the half-open state.
+    successes: u32,
+    /// Length of the current or last open period.
+    open_duration: Duration,
+    /// Length of the next open period: twice the last one, up to the maximum, unless the breaker
+    /// has stayed closed for long enough in between.
+    next_open_duration: Duration,
+    /// Time of the last state change.
+    state_since: Duration,
 }
 
 impl Breaker {
     pub(crate) fn new() -> Self {
         Breaker {
             state: CHART.initial(),
-            failing: 0.0,
-            good: 0,
-            rest: FIRST_REST,
-            next_rest: FIRST_REST,
-            since: Duration::ZERO,
+            failure_rate: 0.0,
+            successes: 0,
+            open_duration: INITIAL_OPEN_DURATION,
+            next_open_duration: INITIAL_OPEN_DURATION,
+            state_since: Duration::ZERO,
         }
     }
 
-    /// Where it stands at `now`.
+    /// The state at `now`; an open breaker whose open period has passed counts as half-open.
     pub(crate) fn state(&self, now: Duration) -> BreakerState {
-        let is_rested = now.saturating_sub(self.since) >= self.rest;
+        let is_expired = now.saturating_sub(self.state_since) >= self.open_duration;
         match self.state {
-            BreakerState::Open if is_rested => CHART.next(self.state, BreakerEvent::Rested),
+            BreakerState::Open if is_expired => CHART.next(self.state, BreakerEvent::OpenExpired),
             state => state,
         }
     }
 
-    /// When the rest under way is over.
+    /// When the open period ends; `None` unless the breaker is open.
     pub(crate) fn open_until(&self) -> Option<Duration> {
-        (self.state == BreakerState::Open).then_some(self.since + self.rest)
+        (self.state == BreakerState::Open).then_some(self.state_since + self.open_duration)
     }
 
-    /// Goes on trial when the rest is over.
+    /// Becomes half-open once the open period has passed.
     pub(crate) fn advance(&mut self, now: Duration) {
-        self.step(now, self.state(now));
+        self.transition(now, self.state(now));
     }
 
-    /// Takes a request's outcome; `true` when it opens the breaker.
+    /// Records the outcome of a request; returns `true` if this outcome opens the breaker.
     pub(crate) fn record(&mut self, now: Duration, failed: bool) -> bool {
-        self.failing += NEW_SHARE * (f64::from(u8::from(failed)) - self.failing);
+        self.failure_rate += OUTCOME_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
         self.advance(now);
         let Some(event) = self.event(failed) else { return false };
-        self.step(now, CHART.next(self.state, event));
+        self.transition(now, CHART.next(self.state, event));
         self.state == BreakerState::Open
     }
 
     fn event(&mut self, failed: bool) -> Option<BreakerEvent> {
         match (self.state, failed) {
-            (BreakerState::Closed, true) if self.failing >= TRIPS_AT => Some(BreakerEvent::Tripped),
+            (BreakerState::Closed, true) if self.failure_rate >= TRIP_THRESHOLD => {
+                Some(BreakerEvent::Tripped)
+            }
             (BreakerState::HalfOpen, true) => Some(BreakerEvent::Failed),
             (BreakerState::HalfOpen, false) => {
-                self.good += 1;
-                (self.good >= RECOVERED_AFTER).then_some(BreakerEvent::Recovered)
+                self.successes += 1;
+                (self.successes >= RECOVERY_SUCCESSES).then_some(BreakerEvent::Recovered)
             }
             _ => None,
         }
     }
 
-    fn step(&mut self, now: Duration, to: BreakerState) {
+    fn transition(&mut self, now: Duration, to: BreakerState) {
         let from = std::mem::replace(&mut self.state, to);
         if from == to {
             return;
         }
-        let lasted = now.saturating_sub(self.since);
-        if from == BreakerState::Closed && lasted >= STEADY_AFTER {
-            self.next_rest = FIRST_REST;
+        let elapsed = now.saturating_sub(self.state_since);
+        if from == BreakerState::Closed && elapsed >= BACKOFF_RESET_AFTER {
+            self.next_open_duration = INITIAL_OPEN_DURATION;
         }
         match to {
-            BreakerState::Open => self.begin_rest(),
-            BreakerState::Closed => self.failing = 0.0,
+            BreakerState::Open => self.start_open(),
+            BreakerState::Closed => self.failure_rate = 0.0,
             BreakerState::HalfOpen => {}
         }
-        self.good = 0;
-        self.since = now;
+        self.successes = 0;
+        self.state_since = now;
     }
 
-    fn begin_rest(&mut self) {
-        self.rest = self.next_rest;
-        self.next_rest = (self.rest * 2).min(LONGEST_REST);
+    fn start_open(&mut self) {
+        self.open_duration = self.next_open_duration;
+        self.next_open_duration = (self.open_duration * 2).min(MAX_OPEN_DURATION);
     }
 }
--- a/crates/carried/src/flow_cache.rs
+++ b/crates/carried/src/flow_cache.rs
@@ -1,27 +1,27 @@
-//! Where flows live, as one balancer remembers.
+//! One balancer's cache of the agents that own flows.
 //!
-//! An entry is a memory, not a truth: an agent that does not hold the flow sends the packet back,
-//! and a balancer without an entry asks the agents.
+//! An entry may be wrong: an agent that does not own the flow returns the packet, and a balancer
+//! without an entry asks the agents.
 
 use loftdrift_wire::FlowKey;
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Most flows remembered; the oldest are found again by asking.
-const MOST_FLOWS: usize = 200_000;
-/// Time between two sweeps of flows that have rested too long.
+/// Flows cached at most; a flow that is not cached is found again by a lookup.
+const MAX_FLOWS: usize = 200_000;
+/// Interval between two sweeps that drop expired entries.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Packets may still come for so long after an end has finished.
-const FINISHED_LASTS: Duration = Duration::from_secs(3);
+/// Packets of a flow may still arrive for this long after one side has finished it.
+const FINISHED_TTL: Duration = Duration::from_secs(3);
 
 #[derive(Debug)]
 struct Entry {
     agent: SocketAddrV4,
-    forget_at: Duration,
+    expires_at: Duration,
 }
 
-/// The memory.
+/// Maps flows to the agents that are believed to own them.
 #[derive(Debug, Default)]
 pub(crate) struct FlowCache {
     entries: HashMap<FlowKey, Entry>,
@@ -40,12 +40,12 @@
         flow: FlowKey,
         agent: SocketAddrV4,
     ) {
-        if self.entries.len() < MOST_FLOWS {
-            self.entries.insert(flow, Entry { agent, forget_at: now + idle });
+        if self.entries.len() < MAX_FLOWS {
+            self.entries.insert(flow, Entry { agent, expires_at: now + idle });
         }
     }
 
-    /// The agent of a flow of which a packet came.
+    /// Returns the agent of a flow that a packet has arrived for, and extends the entry's lifetime.
     pub(crate) fn touch(
         &mut self,
         now: Duration,
@@ -54,8 +54,8 @@
         finishes: bool,
     ) -> Option<SocketAddrV4> {
         let entry = self.entries.get_mut(flow)?;
-        let lasts = if finishes { FINISHED_LASTS } else { idle };
-        entry.forget_at = now + lasts;
+        let ttl = if finishes { FINISHED_TTL } else { idle };
+        entry.expires_at = now + ttl;
         Some(entry.agent)
     }
 
@@ -63,7 +63,7 @@
         self.entries.get(flow).map(|entry| entry.agent)
     }
 
-    /// The flow does not live at `agent`.
+    /// Drops the entry if it names `agent`, which does not own the flow.
     pub(crate) fn remove(&mut self, flow: &FlowKey, agent: SocketAddrV4) {
         if self.agent(flow) == Some(agent) {
             self.entries.remove(flow);
@@ -75,6 +75,6 @@
             return;
         }
         self.next_sweep = now + SWEEP_INTERVAL;
-        self.entries.retain(|_, entry| entry.forget_at > now);
+        self.entries.retain(|_, entry| entry.expires_at > now);
     }
 }
--- a/crates/carried/src/flow_table.rs
+++ b/crates/carried/src/flow_table.rs
@@ -1,4 +1,4 @@
-//! What is under way for flows, one thing a flow, each with its next wake-up.
+//! A table of per-flow state in which each entry has a number and a wake-up time.
 
 use loftdrift_wire::FlowKey;
 use std::collections::{BTreeSet, HashMap};
@@ -7,12 +7,12 @@
 #[derive(Debug)]
 struct Entry<T> {
     flow: FlowKey,
-    body: T,
-    /// Stands in the wake-ups as long as the entry lives.
+    state: T,
+    /// Listed in `wake_ups` until the wake-up is taken.
     wake_at: Duration,
 }
 
-/// Things under way, by number and by flow.
+/// Per-flow state, found by number or by flow.
 #[derive(Debug)]
 pub(crate) struct FlowTable<T> {
     by_flow: HashMap<FlowKey, u64>,
@@ -22,7 +22,7 @@
 }
 
 impl<T> FlowTable<T> {
-    /// Numbers its things from `first` on.
+    /// Creates an empty table whose numbers start after `first`.
     pub(crate) fn new(first: u64) -> Self {
         FlowTable {
             by_flow: HashMap::new(),
@@ -40,29 +40,30 @@
         self.by_flow.get(flow).copied()
     }
 
-    /// Begins a thing for a flow that has none; it is woken at once unless it is told otherwise.
-    pub(crate) fn start(&mut self, now: Duration, flow: FlowKey, body: T) -> u64 {
+    /// Adds an entry for a flow that has none. Its first wake-up is due at once unless
+    /// [`FlowTable::wake_at`] changes that.
+    pub(crate) fn start(&mut self, now: Duration, flow: FlowKey, state: T) -> u64 {
         self.last_number = self.last_number.wrapping_add(1);
         let number = self.last_number;
         self.by_flow.insert(flow, number);
         self.wake_ups.insert((now, number));
-        self.by_number.insert(number, Entry { flow, body, wake_at: now });
+        self.by_number.insert(number, Entry { flow, state, wake_at: now });
         number
     }
 
     pub(crate) fn get(&self, number: u64) -> Option<&T> {
-        self.by_number.get(&number).map(|entry| &entry.body)
+        self.by_number.get(&number).map(|entry| &entry.state)
     }
 
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut T> {
-        self.by_number.get_mut(&number).map(|entry| &mut entry.body)
+        self.by_number.get_mut(&number).map(|entry| &mut entry.state)
     }
 
     pub(crate) fn finish(&mut self, number: u64) -> Option<T> {
         let entry = self.by_number.remove(&number)?;
         self.wake_ups.remove(&(entry.wake_at, number));
         self.by_flow.remove(&entry.flow);
-        Some(entry.body)
+        Some(entry.state)
     }
 
     pub(crate) fn wake_at(&mut self, number: u64, at: Duration) {
@@ -76,7 +77,7 @@
         self.wake_ups.first().map(|(at, _)| *at)
     }
 
-    /// Takes a thing whose wake-up has come.
+    /// Removes the earliest wake-up if it is due and returns its entry's number.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<u64> {
         let (at, number) = *self.wake_ups.first()?;
         if at > now {
--- a/crates/carried/src/input_age.rs
+++ b/crates/carried/src/input_age.rs
@@ -1,36 +1,38 @@
-//! For how long datagrams may have waited in a socket before they are read, as far as its reader can
-//! know: sockets do not tell.
+//! Upper bounds for the time that datagrams have waited in a socket buffer before they are read.
+//! Sockets do not report that time, so it is derived from when the reader last found the socket
+//! empty.
 
 use std::time::Duration;
 
-/// Bounds the age of what is read from one socket.
+/// Bounds the age of the datagrams read from one socket.
 ///
-/// Invariant: a datagram read in a batch came no earlier than the batch began, less what
-/// [`InputAge::waited`] gave for it.
+/// Invariant: a datagram read in a batch arrived no earlier than the start of the batch minus the
+/// value that [`InputAge::max_wait`] returned for that batch.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InputAge {
-    /// Since when the socket has not been found empty, or its reader has not run.
-    since: Option<Duration>,
+    /// Time since which the socket has not been found empty, or since which the reader has not run.
+    unread_since: Option<Duration>,
 }
 
 impl InputAge {
-    /// The reader did not run since then. The socket is to be read at once: what comes later has not
-    /// waited.
-    pub fn note_pause(&mut self, since: Duration) {
-        self.since.get_or_insert(since);
+    /// Records that the reader has not run since `unread_since`. The socket must be read right
+    /// away: datagrams that arrive from now on count as not having waited.
+    pub fn note_pause(&mut self, unread_since: Duration) {
+        self.unread_since.get_or_insert(unread_since);
     }
 
-    /// For how long datagrams of a batch that begins now may have waited.
+    /// How long datagrams of a batch that starts now may have waited at most.
     pub fn max_wait(&self, now: Duration) -> Duration {
-        self.since.map_or(Duration::ZERO, |since| now.saturating_sub(since))
+        self.unread_since.map_or(Duration::ZERO, |unread_since| now.saturating_sub(unread_since))
     }
 
-    /// A batch ended that began then; `is_empty`: nothing was left in the socket.
+    /// Records the end of a batch that started at `began`; `is_empty` tells whether it emptied the
+    /// socket.
     pub fn note_batch(&mut self, began: Duration, is_empty: bool) {
         if is_empty {
-            self.since = None;
+            self.unread_since = None;
         } else {
-            self.since.get_or_insert(began);
+            self.unread_since.get_or_insert(began);
         }
     }
 }
--- a/crates/carried/src/latency.rs
+++ b/crates/carried/src/latency.rs
@@ -1,19 +1,20 @@
-//! How long what a core waits for takes.
+//! Latency histograms of the balancer and agent cores.
 
 use loftdrift_counters::Histogram;
 
-/// What a balancer of carried flows measures.
+/// Histograms of a balancer of carried flows.
 #[derive(Clone, Debug)]
 pub struct BalancerLatency {
-    /// From an offer to the agent's word.
+    /// Time from an offer to the agent's answer.
     pub(crate) offer_answer: Histogram,
-    /// From an opening packet to its flow's place.
+    /// Time from a flow's SYN to its placement.
     pub(crate) placement: Histogram,
-    /// Offers that it took.
+    /// Number of offers made until a flow was placed.
     pub(crate) offers_per_flow: Histogram,
-    /// From a packet of a flow that is not remembered until an agent holds it.
+    /// Time from a packet of a flow missing in the flow cache until the agent that owns it is
+    /// found.
     pub(crate) lookup: Histogram,
-    /// From a packet of a flow until its caller is told that nobody holds it.
+    /// Time from a packet of a flow until its caller is notified that no agent owns the flow.
     pub(crate) flow_over: Histogram,
 }
 
@@ -22,27 +23,30 @@
         BalancerLatency {
             offer_answer: Histogram::seconds(
                 "offer_answer_seconds",
-                "From an offer to the agent's word.",
+                "Time from an offer to the agent's answer.",
             ),
             placement: Histogram::seconds(
                 "opening_seconds",
-                "From a caller's opening packet until an agent has placed the flow.",
+                "Time from a caller's SYN until an agent has placed the flow.",
+            ),
+            offers_per_flow: Histogram::counts(
+                "opening_offers",
+                "Offers made until a flow was placed.",
             ),
-            offers_per_flow: Histogram::counts("opening_offers", "Offers until a flow was placed."),
             lookup: Histogram::seconds(
                 "lookup_seconds",
-                "From a packet of a flow that is not remembered until an agent holds it.",
+                "Time from a packet of an uncached flow until its owner is found.",
             ),
             flow_over: Histogram::seconds(
                 "flow_over_seconds",
-                "From a packet of a flow that nobody holds until its caller is told.",
+                "Time from a packet of a flow that no agent owns until its caller is notified.",
             ),
         }
     }
 }
 
 impl BalancerLatency {
-    /// All of them.
+    /// All histograms.
     pub fn histograms(&self) -> Vec<Histogram> {
         let BalancerLatency { offer_answer, placement, offers_per_flow, lookup, flow_over } =
             self.clone();
@@ -50,14 +54,14 @@
     }
 }
 
-/// What an agent of carried flows measures.
+/// Histograms of an agent of carried flows.
 #[derive(Clone, Debug)]
 pub struct AgentLatency {
-    /// From an opening packet passed on to the back end's answer to it.
+    /// Time from passing a SYN to the back end until the back end answers it.
     pub(crate) handshake: Histogram,
-    /// From a request's first packet to the first one of its answer.
+    /// Time from the first packet of a request to the first packet of its answer.
     pub(crate) answer: Histogram,
-    /// Time that flows have waited until there was room.
+    /// Time that flows have spent in the wait queue until there was room.
     pub(crate) wait_queue: Histogram,
 }
 
@@ -66,22 +70,22 @@
         AgentLatency {
             handshake: Histogram::seconds(
                 "handshake_seconds",
-                "From an opening packet passed to the back end until its answer.",
+                "Time from a SYN passed to the back end until its answer.",
             ),
             answer: Histogram::seconds(
                 "answer_seconds",
-                "From a request passed to the back end until the first packet of its answer.",
+                "Time from a request passed to the back end until the first packet of its answer.",
             ),
             wait_queue: Histogram::seconds(
                 "line_seconds",
-                "Time that new flows have waited until the back end had room.",
+                "Time that new flows waited until the back end had room.",
             ),
         }
     }
 }
 
 impl AgentLatency {
-    /// All of them.
+    /// All histograms.
     pub fn histograms(&self) -> Vec<Histogram> {
         vec![self.handshake.clone(), self.answer.clone(), self.wait_queue.clone()]
     }
--- a/crates/carried/src/lookup.rs
+++ b/crates/carried/src/lookup.rs
@@ -1,82 +1,83 @@
-//! The search for the agent that holds a flow which this balancer does not remember.
+//! A lookup of the agent that owns a flow missing in this balancer's flow cache.
 //!
-//! Agents are asked by the flow's addresses; its packets wait here meanwhile. The first ones in the
-//! flow's ranking are asked first, the others follow in growing batches. What an agent has said holds
-//! for this one flow, which opened before the search began, and no longer than a caller may take to
-//! use its port again.
+//! The balancer asks agents for the flow by its addresses and buffers its packets meanwhile. It
+//! asks the first agents in the flow's ranking first and the others in growing batches. An agent's
+//! answer applies to this one flow, which was opened before the lookup started, and only for as
+//! long as the caller cannot have reused its port.
 
 use crate::segment::Segment;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Agents that are asked first; each further batch is twice as large.
+/// Number of agents asked first; each further batch is twice as large.
 pub(crate) const INITIAL_BATCH: usize = 16;
-/// An agent has so long to answer before others are asked as well.
+/// How long an agent may take to answer before further agents are asked as well.
 pub(crate) const ANSWER_TIMEOUT: Duration = Duration::from_millis(20);
-/// A back end has so long to react to a packet that it was given on trial.
+/// How long a back end may take to react to a trial packet: a packet of the flow that is delivered
+/// to it although it may not own the flow.
 pub(crate) const TRIAL_TIMEOUT: Duration = Duration::from_millis(60);
-/// Packets that wait, at most: more than a caller has under way.
-const MOST_WAITING: usize = 16;
-/// Back ends that get a packet which may not be theirs, while the holder may be one that cannot be
-/// asked now.
+/// Packets buffered per lookup at most: more than a caller has in flight.
+const MAX_BUFFERED_PACKETS: usize = 16;
+/// Back ends that may get a trial packet while the owner may be an agent that cannot be asked now.
 pub(crate) const MAX_TRIALS: usize = 2;
-/// Back ends that are tried at once at first; with each round their number doubles.
+/// Number of back ends in the first round of trials; it doubles with each round.
 ///
-/// New flows are placed at the first eight in their ranking of the own zone and of all others: two
-/// rounds, of 4 and 8, nearly always meet the holder. Rounds of 2, 8 and then all the rest, as they
-/// were before, sent ten times the packets of a flow whose holder came later.
+/// New flows are placed at one of the first eight agents in their ranking, of the balancer's own
+/// zone or of all others, so two rounds, of 4 and 8, nearly always reach the owner. Rounds of 2,
+/// then 8, then all the rest sent ten times as many packets for a flow whose owner joined later.
 pub(crate) const INITIAL_TRIALS: usize = 4;
-/// Doublings after which their number grows no more.
+/// Number of times that the round of trials doubles.
 pub(crate) const MAX_TRIAL_DOUBLINGS: u32 = 4;
-/// First pause before those that have not answered are asked again; it doubles up to the last.
+/// Delay before the agents that have not answered are asked again; it doubles up to the maximum.
 pub(crate) const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(40);
-const LAST_PAUSE: Duration = Duration::from_millis(640);
-/// Doublings after which the pause grows no more.
-const MOST_PAUSES: u32 = 8;
-/// What agents have said holds for so long, and packets that have waited for longer are left to their
-/// callers' repetitions, which come within 1.6 s: a port may be used again meanwhile.
-const SAID_LASTS: Duration = Duration::from_millis(1_500);
-/// A search ends so long after the caller's last packet.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(640);
+/// Bound of the exponent of the retry delay.
+const MAX_DELAY_DOUBLINGS: u32 = 8;
+/// How long an agent's answer is valid and how long a packet is kept. The caller retransmits older
+/// packets within 1.6 s, and it may reuse its port for another flow.
+const ANSWER_TTL: Duration = Duration::from_millis(1_500);
+/// A lookup is dropped this long after the caller's last packet.
 pub(crate) const LOOKUP_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// What an agent has said so far.
+/// What an agent has answered so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AgentAnswer {
-    /// Nothing since it was asked.
+    /// It was asked at this time and has not answered.
     Asked(Duration),
-    /// It may have forgotten the flow.
+    /// It may have lost its record of the flow.
     Unsure,
-    /// It was given a packet on trial.
+    /// It was given a trial packet at this time.
     Tried(Duration),
-    /// The flow does not live there.
+    /// It answered at this time that it does not own the flow.
     Absent(Duration),
 }
 
-/// A search under way.
+/// A lookup in progress.
 #[derive(Debug)]
 pub(crate) struct Lookup {
-    /// The caller's last packet, one with data before any other.
+    /// The caller's latest packet; one with payload is not replaced by one without.
     pub(crate) segment: Segment,
     pub(crate) created_at: Duration,
     last_packet: Duration,
-    /// Packets with when each came.
-    waiting: Vec<(Duration, Vec<u8>)>,
+    /// Packets of the flow, each with the time of its arrival.
+    buffered: Vec<(Duration, Vec<u8>)>,
     answers: BTreeMap<SocketAddrV4, AgentAnswer>,
-    /// Batches asked so far.
+    /// Number of batches asked so far.
     pub(crate) batches: u32,
-    /// Back ends tried; at most [`MOST_TRIALS`] while the holder may be one that cannot be asked.
+    /// Back ends given a trial packet; at most [`MAX_TRIALS`] while the owner may be an agent that
+    /// cannot be asked.
     pub(crate) trials: usize,
-    /// Rounds of trials so far.
+    /// Number of rounds of trials so far.
     pub(crate) trial_rounds: u32,
-    /// When the search began; `None` while it waits for its turn.
+    /// When the first agents were asked; `None` while the lookup waits for its turn.
     pub(crate) started_at: Option<Duration>,
-    pauses: u32,
-    /// When those that have not settled the matter are asked again.
+    delay_doublings: u32,
+    /// When the agents without a final answer are asked again.
     pub(crate) next_retry: Duration,
-    /// It was told that the search takes long.
+    /// Whether the log already says that this lookup takes long.
     pub(crate) slow_logged: bool,
-    /// When the caller was told that nobody holds the flow.
+    /// When the caller was last notified that no agent owns the flow.
     pub(crate) reset_at: Option<Duration>,
 }
 
@@ -86,62 +87,66 @@
             segment,
             created_at: now,
             last_packet: now,
-            waiting: vec![(now, datagram.to_vec())],
+            buffered: vec![(now, datagram.to_vec())],
             answers: BTreeMap::new(),
             batches: 0,
             trials: 0,
             trial_rounds: 0,
             started_at: None,
-            pauses: 0,
+            delay_doublings: 0,
             next_retry: now + INITIAL_RETRY_DELAY,
             slow_logged: false,
             reset_at: None,
         }
     }
 
-    /// Whether the search still serves a packet: it is of the same flow and not of another one
-    /// between the same addresses, and what was said so far is not old.
+    /// Whether a packet belongs to this lookup: it is of the same flow, not of another one between
+    /// the same addresses, and the answers so far have not expired.
     pub(crate) fn applies_to(&self, now: Duration, segment: &Segment) -> bool {
-        self.segment.is_near(segment) && now.saturating_sub(self.created_at) < SAID_LASTS
+        self.segment.is_near(segment) && now.saturating_sub(self.created_at) < ANSWER_TTL
     }
 
-    /// Another packet of the flow came.
+    /// Adds another packet of the flow.
     pub(crate) fn add_packet(&mut self, now: Duration, segment: &Segment, datagram: &[u8]) {
         self.last_packet = now;
         if segment.payload_bytes > 0 || self.segment.payload_bytes == 0 {
             self.segment = *segment;
         }
-        if self.waiting.len() < MOST_WAITING {
-            self.waiting.push((now, datagram.to_vec()));
+        if self.buffered.len() < MAX_BUFFERED_PACKETS {
+            self.buffered.push((now, datagram.to_vec()));
         }
-        // What was tried long ago without a reaction may be tried once more.
-        for word in self.answers.values_mut() {
-            if matches!(word, AgentAnswer::Tried(at) if now.saturating_sub(*at) >= TRIAL_TIMEOUT) {
-                *word = AgentAnswer::Unsure;
+        // Agents that did not react to a trial packet long ago may be tried once more.
+        for answer in self.answers.values_mut() {
+            if matches!(answer, AgentAnswer::Tried(at) if now.saturating_sub(*at) >= TRIAL_TIMEOUT)
+            {
+                *answer = AgentAnswer::Unsure;
             }
         }
-        self.pauses = 0;
+        self.delay_doublings = 0;
         self.next_retry = self.next_retry.min(now + INITIAL_RETRY_DELAY);
     }
 
-    /// Takes the packets that wait and are not old.
+    /// Removes the buffered packets and returns those that have not expired.
     pub(crate) fn take_buffered(&mut self, now: Duration) -> Vec<Vec<u8>> {
-        let waiting = std::mem::take(&mut self.waiting).into_iter();
-        waiting.filter(|(came_at, _)| is_recent(now, *came_at)).map(|(_, packet)| packet).collect()
+        let buffered = std::mem::take(&mut self.buffered).into_iter();
+        buffered
+            .filter(|(received_at, _)| is_recent(now, *received_at))
+            .map(|(_, packet)| packet)
+            .collect()
     }
 
-    /// Whether its caller has sent something lately.
+    /// Whether the caller has sent a packet recently.
     pub(crate) fn is_recent(&self, now: Duration) -> bool {
         is_recent(now, self.last_packet)
     }
 
-    /// A packet that a back end which holds the flow reacts to.
+    /// The latest buffered packet if it is one that the back end owning the flow reacts to.
     pub(crate) fn trial_packet(&self, now: Duration) -> Option<&Vec<u8>> {
-        let last = self.waiting.last().filter(|(came_at, _)| is_recent(now, *came_at));
+        let last = self.buffered.last().filter(|(received_at, _)| is_recent(now, *received_at));
         last.filter(|_| self.expects_answer()).map(|(_, packet)| packet)
     }
 
-    /// Whether the caller waits for something, and has not left.
+    /// Whether the caller waits for an answer and has not closed the flow.
     pub(crate) fn expects_answer(&self) -> bool {
         self.segment.payload_bytes > 0 && !self.segment.finishes && !self.segment.resets
     }
@@ -158,35 +163,35 @@
         self.answers.insert(agent, answer);
     }
 
-    /// Whether any agent has said that the flow does not live there.
+    /// Whether any agent has answered that it does not own the flow.
     pub(crate) fn has_absent_answer(&self) -> bool {
-        self.answers.values().any(|word| matches!(word, AgentAnswer::Absent(_)))
+        self.answers.values().any(|answer| matches!(answer, AgentAnswer::Absent(_)))
     }
 
-    /// Agents that have said nothing for longer than they need, and ones that were unsure.
+    /// Agents whose answer or reaction is overdue, and agents that were unsure.
     pub(crate) fn unresolved(&self, now: Duration) -> Vec<SocketAddrV4> {
-        let is_unsettled = |word: &AgentAnswer| match word {
+        let is_unresolved = |answer: &AgentAnswer| match answer {
             AgentAnswer::Asked(at) => now.saturating_sub(*at) >= ANSWER_TIMEOUT,
             AgentAnswer::Tried(at) => now.saturating_sub(*at) >= TRIAL_TIMEOUT,
             AgentAnswer::Unsure => true,
             AgentAnswer::Absent(_) => false,
         };
-        let unresolved = self.answers.iter().filter(|(_, word)| is_unsettled(word));
+        let unresolved = self.answers.iter().filter(|(_, answer)| is_unresolved(answer));
         unresolved.map(|(agent, _)| *agent).collect()
     }
 
-    /// Agents that have said nothing, with when they were asked first.
+    /// Agents that have not answered, with the time at which each was first asked.
     pub(crate) fn unanswered(&self) -> Vec<(SocketAddrV4, Duration)> {
-        let unanswered = self.answers.iter().filter_map(|(agent, word)| match word {
+        let unanswered = self.answers.iter().filter_map(|(agent, answer)| match answer {
             AgentAnswer::Asked(at) => Some((*agent, *at)),
             _ => None,
         });
         unanswered.collect()
     }
 
-    /// When the words that are awaited are here or overdue; `None` when none is awaited.
+    /// When the answers in progress are due at the latest; `None` if none is awaited.
     pub(crate) fn answers_due_at(&self, now: Duration) -> Option<Duration> {
-        let until = self.answers.values().filter_map(|word| match word {
+        let until = self.answers.values().filter_map(|answer| match answer {
             AgentAnswer::Asked(at) => Some(*at + ANSWER_TIMEOUT),
             AgentAnswer::Tried(at) => Some(*at + TRIAL_TIMEOUT),
             AgentAnswer::Unsure | AgentAnswer::Absent(_) => None,
@@ -194,19 +199,19 @@
         until.filter(|until| *until > now).max()
     }
 
-    /// Those that have not settled the matter are asked again now.
+    /// Schedules the next retry; called when the agents without a final answer are asked again.
     pub(crate) fn note_retry(&mut self, now: Duration) {
-        let pause = INITIAL_RETRY_DELAY * 2_u32.pow(self.pauses);
-        self.pauses = (self.pauses + 1).min(MOST_PAUSES);
-        self.next_retry = now + pause.min(LAST_PAUSE);
+        let delay = INITIAL_RETRY_DELAY * 2_u32.pow(self.delay_doublings);
+        self.delay_doublings = (self.delay_doublings + 1).min(MAX_DELAY_DOUBLINGS);
+        self.next_retry = now + delay.min(MAX_RETRY_DELAY);
     }
 
-    /// Whether the caller has stopped asking.
+    /// Whether the caller has stopped sending.
     pub(crate) fn is_over(&self, now: Duration) -> bool {
         now.saturating_sub(self.last_packet) >= LOOKUP_TIMEOUT
     }
 }
 
-fn is_recent(now: Duration, came_at: Duration) -> bool {
-    now.saturating_sub(came_at) < SAID_LASTS
+fn is_recent(now: Duration, received_at: Duration) -> bool {
+    now.saturating_sub(received_at) < ANSWER_TTL
 }
--- a/crates/carried/src/offer_budget.rs
+++ b/crates/carried/src/offer_budget.rs
@@ -1,67 +1,69 @@
-//! How many offers the flows of one service may cost.
+//! Limits how many repeated offers the new flows of one service may cause.
 //!
-//! While a service is full each flow is declined by whoever it is offered to. Asking more agents finds
-//! little room then and costs both sides the processor that calm flows need; what is late for that is
-//! asked again, and the overload feeds itself (Bronson et al., Metastable failures in distributed
-//! systems, 2021). As with retry budgets, flows that are placed pay for the repeated offers of others.
+//! While a service is full, every agent declines the flows it is offered. Asking more agents then
+//! finds little room and takes processor time on both sides that ordinary flows need; whatever is
+//! late because of that is retried, so that the overload sustains itself (Bronson et al.,
+//! Metastable failures in distributed systems, 2021). As in a retry budget, placed flows earn the
+//! repeated offers of others.
 
 use std::time::Duration;
 
-/// Offers of one flow that cost nothing.
+/// Offers per flow that do not draw on the budget.
 pub(crate) const FREE_OFFERS: u32 = 2;
-/// Repeated offers that a placed flow pays for: in calm one in ten flows needs any.
-const EARNED: f64 = 1.0;
-/// Repeated offers a second that cost nothing, so that a service in which nothing is placed is tried.
-const EARNED_A_SECOND: f64 = 10.0;
+/// Repeated offers earned by each placed flow; without overload one flow in ten needs any.
+const EARNED_PER_PLACEMENT: f64 = 1.0;
+/// Repeated offers earned per second, so that a service in which no flow is placed is still tried.
+const EARNED_PER_SECOND: f64 = 10.0;
 /// Repeated offers that one flow may need.
-const NEEDED: f64 = 2.0;
-/// Most that is saved: the repeated offers of a few flows that come together.
-const MOST: f64 = 40.0;
+const REPEATS_PER_FLOW: f64 = 2.0;
+/// Maximum balance: enough for the repeated offers of a few flows that arrive together.
+const MAX_BALANCE: f64 = 40.0;
 
-/// What is left for repeated offers.
+/// Balance of repeated offers of one service, a token bucket.
 #[derive(Debug)]
 pub(crate) struct OfferBudget {
-    left: f64,
-    counted_at: Duration,
+    balance: f64,
+    refilled_at: Duration,
 }
 
 impl OfferBudget {
     pub(crate) fn new(now: Duration) -> Self {
-        OfferBudget { left: MOST, counted_at: now }
+        OfferBudget { balance: MAX_BALANCE, refilled_at: now }
     }
 
     fn earn(&mut self, offers: f64) {
-        self.left = (self.left + offers).min(MOST);
+        self.balance = (self.balance + offers).min(MAX_BALANCE);
     }
 
-    fn count(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.counted_at).as_secs_f64();
-        self.counted_at = now;
-        self.earn(elapsed * EARNED_A_SECOND);
+    fn refill(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        self.earn(elapsed * EARNED_PER_SECOND);
     }
 
-    /// A flow was placed.
+    /// Adds what a placed flow earns.
     pub(crate) fn note_placed(&mut self) {
-        self.earn(EARNED);
+        self.earn(EARNED_PER_PLACEMENT);
     }
 
-    /// Whether less is left than one flow may need: a queue at a third agent, and a line.
+    /// Whether the balance is below what one flow may need: an offer for the queue of a third
+    /// back end and one for an agent's wait queue.
     pub(crate) fn is_exhausted(&mut self, now: Duration) -> bool {
-        self.count(now);
-        self.left < NEEDED
+        self.refill(now);
+        self.balance < REPEATS_PER_FLOW
     }
 
-    /// Takes what one offer costs, the flow having made `made` before; `false` when it may not be
-    /// made.
+    /// Pays for one offer of a flow that has been offered `made` times before; returns `false` if
+    /// the offer must not be made.
     pub(crate) fn take(&mut self, now: Duration, made: u32) -> bool {
         if made < FREE_OFFERS {
             return true;
         }
-        self.count(now);
-        if self.left < 1.0 {
+        self.refill(now);
+        if self.balance < 1.0 {
             return false;
         }
-        self.left -= 1.0;
+        self.balance -= 1.0;
         true
     }
 }
--- a/crates/carried/src/pending_flow.rs
+++ b/crates/carried/src/pending_flow.rs
@@ -1,8 +1,9 @@
 //! New flows that no agent has placed yet.
 //!
-//! An opening offers the flow to one agent after the other. The first round asks for a free slot;
-//! when nobody has one, the second asks whoever can still answer in time. An agent that says nothing
-//! is passed over and may still place the flow: two answers to a caller are harmless, none is not.
+//! A pending flow is offered to one agent after the other. The first round of offers asks for a
+//! free slot; if no agent has one, the second round asks any agent that can still answer in time.
+//! An agent that does not answer an offer is skipped and may still place the flow: two agents
+//! answering the caller does no harm, none answering does.
 
 use crate::flow_table::FlowTable;
 use crate::message::{Admission, DeclineReason};
@@ -11,41 +12,43 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How long a caller has waited when it sends each copy of its opening packet.
-const COPIED_AFTER: [Duration; 3] =
+/// Time from the first SYN of an attempt to the SYN itself and to each of its retransmissions.
+const SYN_SEND_OFFSETS: [Duration; 3] =
     [Duration::ZERO, Duration::from_millis(200), Duration::from_millis(600)];
-/// A caller gives a try up so long after its opening packet.
+/// Time after the first SYN at which a caller gives up its attempt to connect.
 pub(crate) const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(1_400);
-/// What is left of a try when a flow leaves an agent's line at the latest: the ways to the back end and
-/// to the caller, some 10 ms in all, and a queue in front of a small balancer.
-const TRY_MARGIN: Duration = Duration::from_millis(80);
-/// With less left, waiting is not worth an offer.
-const LEAST_PATIENCE: Duration = Duration::from_millis(20);
-/// Agents that a flow is offered to for their lines, at most: one that has just filled up, and another.
-const MOST_LINES: usize = 2;
-/// Share of the aim after which a request is taken to be late: its work is still to come.
-const LATE_SHARE: f64 = 0.5;
-/// A caller may be reset only so long after each copy came: it sends the next one a little later.
-const RESET_WITHIN: [Duration; 3] =
+/// Time of an attempt that must remain when a flow leaves an agent's wait queue: it covers the
+/// one-way delays to the back end and to the caller, about 10 ms in all, and a queue in front of a
+/// small balancer.
+const ATTEMPT_MARGIN: Duration = Duration::from_millis(80);
+/// If a flow could wait for less than this, it is not offered to a wait queue.
+const MIN_WAIT: Duration = Duration::from_millis(20);
+/// Wait queues that a flow is offered to at most: one that turns out to be full, and another.
+const MAX_WAIT_QUEUE_OFFERS: usize = 2;
+/// A request counts as late after this share of its aim, because its processing is still to come.
+const LATE_AIM_SHARE: f64 = 0.5;
+/// How long after the arrival of the SYN, and of each retransmission, its caller may still be
+/// reset. The caller sends the next one a little later.
+const RESET_WINDOWS: [Duration; 3] =
     [Duration::from_millis(160), Duration::from_millis(360), Duration::from_millis(700)];
-/// An agent that was late with its answer may have placed the flow; the caller goes on within this
-/// time if so.
-const UNANSWERED_LASTS: Duration = Duration::from_millis(130);
+/// An agent that answers late may have placed the flow; if so, the caller proceeds within this
+/// time.
+const LATE_PLACEMENT_WINDOW: Duration = Duration::from_millis(130);
 
-/// What one agent said to an offer.
+/// An agent's answer to an offer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OfferAnswer {
-    /// Nothing yet.
+    /// No answer yet.
     Pending,
-    /// Nothing in time.
+    /// No answer in time.
     Unanswered,
-    /// It waits there until the back end has room.
+    /// The flow waits in the agent's wait queue until the back end has room.
     Queued,
-    /// No.
+    /// The agent has declined the offer.
     Declined(DeclineReason),
 }
 
-/// An offer that was made.
+/// An offer of the flow to one agent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Offer {
     pub(crate) agent: SocketAddrV4,
@@ -55,100 +58,100 @@
 }
 
 impl Offer {
-    /// Whether a place in the queue was asked for, not a slot.
-    fn wanted_queue(&self) -> bool {
+    /// Whether the offer asked for a place in a queue rather than for a free slot.
+    fn requested_queue(&self) -> bool {
         !matches!(self.admission, Admission::FreeSlot | Admission::Spare)
     }
 
-    /// Whether a place in the agent's line was asked for.
-    fn wanted_line(&self) -> bool {
+    /// Whether the offer asked for a place in the agent's wait queue.
+    fn requested_wait_queue(&self) -> bool {
         matches!(self.admission, Admission::Line { .. })
     }
 }
 
-/// An opening packet as it came.
+/// A SYN as it was received.
 #[derive(Debug)]
 pub(crate) struct ReceivedSyn {
     pub(crate) segment: Segment,
     pub(crate) datagram: Vec<u8>,
-    /// No later than this it came; it may have waited in a socket.
+    /// Earliest time at which it can have arrived: it may have waited in a socket buffer.
     pub(crate) arrived_at: Duration,
-    /// From then on it has waited here.
+    /// When it was read from the socket.
     pub(crate) received_at: Duration,
-    /// No later than this its first copy here came; the caller's try lasts from then on.
+    /// Earliest time at which the first SYN of the attempt that this balancer got can have arrived.
+    /// The remaining time of the attempt is counted from here.
     pub(crate) first_arrived_at: Duration,
 }
 
-/// How long a caller goes on with its try of which `opening`, the first copy that came here, came no
-/// later than `first_came`; nothing when that is too little.
-fn remaining_wait(
-    now: Duration,
-    opening: &Segment,
-    first_arrived_at: Duration,
-) -> Option<Duration> {
-    let copied = COPIED_AFTER.get(opening.acknowledgement as usize);
-    let copied = copied.copied().unwrap_or(COPIED_AFTER[COPIED_AFTER.len() - 1]);
-    let lasts = ATTEMPT_TIMEOUT.saturating_sub(copied).saturating_sub(TRY_MARGIN);
-    let left = lasts.saturating_sub(now.saturating_sub(first_arrived_at));
-    (left >= LEAST_PATIENCE).then_some(left)
+/// How long the caller continues its attempt, less the margin; `None` if that is too short to wait.
+/// `syn` is the first SYN of the attempt that this balancer got, and `first_arrived_at` the
+/// earliest time at which it can have arrived.
+fn remaining_wait(now: Duration, syn: &Segment, first_arrived_at: Duration) -> Option<Duration> {
+    let sent_after = SYN_SEND_OFFSETS.get(syn.acknowledgement as usize);
+    let sent_after = sent_after.copied().unwrap_or(SYN_SEND_OFFSETS[SYN_SEND_OFFSETS.len() - 1]);
+    let max_wait = ATTEMPT_TIMEOUT.saturating_sub(sent_after).saturating_sub(ATTEMPT_MARGIN);
+    let left = max_wait.saturating_sub(now.saturating_sub(first_arrived_at));
+    (left >= MIN_WAIT).then_some(left)
 }
 
 impl ReceivedSyn {
-    /// Whether its caller goes on with its try for long enough.
+    /// Whether the caller continues its attempt for long enough.
     pub(crate) fn is_caller_waiting(&self, now: Duration) -> bool {
         remaining_wait(now, &self.segment, self.first_arrived_at).is_some()
     }
 
-    /// Whether another packet is a copy of this one.
+    /// Whether one of the two packets is a retransmission of the other.
     pub(crate) fn is_retransmission(&self, other: &ReceivedSyn) -> bool {
         self.segment.sequence == other.segment.sequence
     }
 }
 
-/// What a new flow wants of a back end.
+/// What a new flow requires of a back end.
 #[derive(Debug)]
 pub(crate) struct Requirements {
     pub(crate) service: String,
-    /// Regions that the back end may be in; any where none is named.
+    /// Regions that the back end may be in; an empty list allows all.
     pub(crate) regions: Vec<String>,
-    /// Within this time the answer is worth all that it can be.
+    /// Response time up to which an answer has its full value.
     pub(crate) aim: Duration,
-    /// How urgent its requests are; 0 is the most urgent.
+    /// Priority of the flow's requests; 0 is the most urgent.
     pub(crate) priority: u8,
 }
 
-/// A new flow on its way to a back end.
+/// A new flow that is being assigned to a back end.
 #[derive(Debug)]
 pub(crate) struct PendingFlow {
     pub(crate) segment: Segment,
     pub(crate) datagram: Vec<u8>,
     pub(crate) service: String,
-    /// Regions that its back end may be in; any where none is named.
+    /// Regions that the back end may be in; an empty list allows all.
     pub(crate) regions: Vec<String>,
     pub(crate) aim: Duration,
     pub(crate) priority: u8,
     pub(crate) received_at: Duration,
-    /// No later than this its first copy here came.
+    /// Earliest time at which the first SYN that this balancer got can have arrived.
     first_arrived_at: Duration,
-    /// No later than this the last copy of the opening packet came; it may have waited in a socket.
-    copied_at: Duration,
-    /// Which copy that was.
-    copy: u32,
+    /// Earliest time at which the latest SYN can have arrived: it may have waited in a socket
+    /// buffer.
+    last_syn_at: Duration,
+    /// Number of the latest retransmission; 0 is the first SYN.
+    retransmission: u32,
     pub(crate) offers: Vec<Offer>,
-    /// Offers made so far, those of rounds that are over included.
+    /// Offers made so far, including those of earlier rounds.
     pub(crate) offer_count: u32,
-    /// Nobody has a free slot: whoever can answer in time is asked.
+    /// No agent has a free slot: any agent that can answer in time is asked.
     pub(crate) wants_queue: bool,
-    /// It is offered to agents in whose line it may wait.
+    /// The flow is offered to agents that may put it into their wait queues.
     pub(crate) wants_wait_queue: bool,
-    /// No back end of the service is there but ones that fail.
+    /// All known back ends of the service fail their requests.
     pub(crate) is_last_resort: bool,
 }
 
-/// Whether the sender of a copy of an opening packet may still be reset so long after the copy came.
-pub(crate) fn may_reset_after(copy: u32, age: Duration) -> bool {
-    let last = RESET_WITHIN[RESET_WITHIN.len() - 1];
-    age <= RESET_WITHIN.get(copy as usize).copied().unwrap_or(last)
+/// Whether the sender of the given retransmission of a SYN may still be reset when that packet is
+/// of the given age.
+pub(crate) fn may_reset_after(retransmission: u32, age: Duration) -> bool {
+    let last = RESET_WINDOWS[RESET_WINDOWS.len() - 1];
+    age <= RESET_WINDOWS.get(retransmission as usize).copied().unwrap_or(last)
 }
 
 impl PendingFlow {
@@ -160,130 +163,132 @@
         now.saturating_sub(self.received_at)
     }
 
-    /// Time since the last copy of the opening packet.
-    pub(crate) fn copy_age(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.copied_at)
+    /// Time since the latest SYN arrived, at most.
+    pub(crate) fn last_syn_age(&self, now: Duration) -> Duration {
+        now.saturating_sub(self.last_syn_at)
     }
 
-    /// Whether the caller may still be reset: it repeats the packet soon, perhaps through another
-    /// balancer, where the flow may open meanwhile.
+    /// Whether the caller may still be reset. It soon retransmits the SYN, perhaps through another
+    /// balancer, where the flow may be opened meanwhile.
     pub(crate) fn may_reset(&self, now: Duration) -> bool {
-        may_reset_after(self.copy, self.copy_age(now))
+        may_reset_after(self.retransmission, self.last_syn_age(now))
     }
 
-    /// Whether the aim is past, or too near for a place in a queue.
+    /// Whether the aim has passed, or is too close for a place in a queue.
     pub(crate) fn is_late(&self, now: Duration) -> bool {
-        let waited = COPIED_AFTER.get(self.segment.acknowledgement as usize);
-        let waited = waited.copied().unwrap_or(COPIED_AFTER[COPIED_AFTER.len() - 1]);
-        waited + self.age(now) >= self.aim.mul_f64(LATE_SHARE)
+        let sent_after = SYN_SEND_OFFSETS.get(self.segment.acknowledgement as usize);
+        let sent_after =
+            sent_after.copied().unwrap_or(SYN_SEND_OFFSETS[SYN_SEND_OFFSETS.len() - 1]);
+        sent_after + self.age(now) >= self.aim.mul_f64(LATE_AIM_SHARE)
     }
 
-    /// How long the flow may wait for room: as long as its caller's try lasts. Nothing when that is
-    /// too little.
+    /// How long the flow may wait for room, which is as long as its caller's attempt lasts; `None`
+    /// if that is too short.
     pub(crate) fn remaining_wait(&self, now: Duration) -> Option<Duration> {
         remaining_wait(now, &self.segment, self.first_arrived_at)
     }
 
-    /// Lines that the flow may still be offered to.
+    /// Number of wait queues that the flow may still be offered to.
     pub(crate) fn wait_queues_left(&self) -> usize {
-        MOST_LINES.saturating_sub(self.offers.iter().filter(|offers| offers.wanted_line()).count())
+        MAX_WAIT_QUEUE_OFFERS
+            .saturating_sub(self.offers.iter().filter(|offer| offer.requested_wait_queue()).count())
     }
 
-    /// Whether the flow was offered to a line.
+    /// Whether the flow has been offered to a wait queue.
     pub(crate) fn has_tried_wait_queue(&self) -> bool {
-        self.offers.iter().any(Offer::wanted_line)
+        self.offers.iter().any(Offer::requested_wait_queue)
     }
 
-    /// Whether an agent was asked for a place in its line, or cannot give one.
+    /// Whether an agent was already asked for a place in its wait queue, or cannot provide one.
     pub(crate) fn excludes_wait_queue(&self, agent: &SocketAddrV4) -> bool {
         let is_busy = |answer| matches!(answer, OfferAnswer::Declined(reason) if reason.may_pass());
-        self.offers.iter().any(|offers| {
-            offers.agent == *agent && (offers.wanted_line() || !is_busy(offers.answer))
+        self.offers.iter().any(|offer| {
+            offer.agent == *agent && (offer.requested_wait_queue() || !is_busy(offer.answer))
         })
     }
 
-    /// The agent in whose line it waits.
+    /// The agent whose wait queue holds the flow.
     pub(crate) fn queued_agent(&self) -> Option<SocketAddrV4> {
-        let queued = self.offers.iter().find(|offers| offers.answer == OfferAnswer::Queued);
-        queued.map(|offers| offers.agent)
+        let queued = self.offers.iter().find(|offer| offer.answer == OfferAnswer::Queued);
+        queued.map(|offer| offer.agent)
     }
 
-    /// Whether an agent that has said nothing so far may have placed the flow not long ago.
+    /// Whether an agent whose answer is overdue may have placed the flow recently.
     pub(crate) fn may_be_placed(&self, now: Duration) -> bool {
-        self.offers.iter().any(|offers| {
-            let is_recent = now.saturating_sub(offers.offered_at) < UNANSWERED_LASTS;
-            offers.answer == OfferAnswer::Unanswered && is_recent
+        self.offers.iter().any(|offer| {
+            let is_recent = now.saturating_sub(offer.offered_at) < LATE_PLACEMENT_WINDOW;
+            offer.answer == OfferAnswer::Unanswered && is_recent
         })
     }
 
-    /// Whether an agent is not to be asked (again) in the round under way.
+    /// Whether an agent must not be asked, or asked again, in the current round.
     pub(crate) fn excludes(&self, agent: &SocketAddrV4) -> bool {
-        self.offers.iter().any(|offers| {
-            let this_round = offers.wanted_queue() == self.wants_queue;
-            let is_busy = offers.answer == OfferAnswer::Declined(DeclineReason::Busy);
-            offers.agent == *agent && (this_round || !is_busy)
+        self.offers.iter().any(|offer| {
+            let this_round = offer.requested_queue() == self.wants_queue;
+            let is_busy = offer.answer == OfferAnswer::Declined(DeclineReason::Busy);
+            offer.agent == *agent && (this_round || !is_busy)
         })
     }
 
-    /// Whether an agent was asked though its back end fails.
+    /// Whether an agent was asked although its back end fails its requests.
     pub(crate) fn has_tried_failing(&self, agent: &SocketAddrV4) -> bool {
-        let is_last_resort = |offers: &Offer| matches!(offers.admission, Admission::Failing(_));
-        self.offers.iter().any(|offers| offers.agent == *agent && is_last_resort(offers))
+        let is_last_resort = |offer: &Offer| matches!(offer.admission, Admission::Failing(_));
+        self.offers.iter().any(|offer| offer.agent == *agent && is_last_resort(offer))
     }
 
-    /// Offers made in the round under way.
+    /// Number of offers made in the current round.
     pub(crate) fn offers_in_round(&self) -> usize {
-        let in_round = |offers: &&Offer| offers.wanted_queue() == self.wants_queue;
+        let in_round = |offer: &&Offer| offer.requested_queue() == self.wants_queue;
         self.offers.iter().filter(in_round).count()
     }
 
-    /// Whether an agent's answer is to come.
+    /// Whether an agent's answer is still expected, or the flow is in a wait queue.
     pub(crate) fn awaits_answer(&self) -> bool {
-        let awaits_answer = |answer| matches!(answer, OfferAnswer::Pending | OfferAnswer::Queued);
-        self.offers.iter().any(|offers| awaits_answer(offers.answer))
+        let is_pending = |answer| matches!(answer, OfferAnswer::Pending | OfferAnswer::Queued);
+        self.offers.iter().any(|offer| is_pending(offer.answer))
     }
 
     pub(crate) fn has_unanswered(&self) -> bool {
-        self.offers.iter().any(|offers| offers.answer == OfferAnswer::Unanswered)
+        self.offers.iter().any(|offer| offer.answer == OfferAnswer::Unanswered)
     }
 
     pub(crate) fn was_declined(&self, reason: DeclineReason) -> bool {
-        self.offers.iter().any(|offers| offers.answer == OfferAnswer::Declined(reason))
+        self.offers.iter().any(|offer| offer.answer == OfferAnswer::Declined(reason))
     }
 
-    /// Whether an agent was offered the flow.
+    /// Whether the flow was offered to an agent.
     pub(crate) fn was_offered_to(&self, agent: SocketAddrV4) -> bool {
-        self.offers.iter().any(|offers| offers.agent == agent)
+        self.offers.iter().any(|offer| offer.agent == agent)
     }
 
-    /// The offer made to an agent last.
+    /// The latest offer to an agent.
     pub(crate) fn last_offer_to(&mut self, agent: SocketAddrV4) -> Option<&mut Offer> {
-        self.offers.iter_mut().rev().find(|offers| offers.agent == agent)
+        self.offers.iter_mut().rev().find(|offer| offer.agent == agent)
     }
 }
 
-/// All openings under way.
+/// All pending flows.
 #[derive(Debug)]
 pub(crate) struct PendingFlows {
-    pending: FlowTable<PendingFlow>,
+    table: FlowTable<PendingFlow>,
 }
 
-/// Most openings under way; more are refused at once.
-const MOST_OPENINGS: usize = 4_096;
+/// Pending flows at most; further new flows are refused immediately.
+const MAX_PENDING_FLOWS: usize = 4_096;
 
 impl PendingFlows {
-    /// Numbers its openings from `first` on: an answer to an earlier process of the balancer must
-    /// not be taken for one to this process.
+    /// Creates an empty set whose numbers start after `first`. An answer to an earlier process of
+    /// the balancer must not be taken as one to this process.
     pub(crate) fn new(first: u64) -> Self {
-        PendingFlows { pending: FlowTable::new(first) }
+        PendingFlows { table: FlowTable::new(first) }
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.pending.len() >= MOST_OPENINGS
+        self.table.len() >= MAX_PENDING_FLOWS
     }
 
     pub(crate) fn number_of(&self, flow: &FlowKey) -> Option<u64> {
-        self.pending.number_of(flow)
+        self.table.number_of(flow)
     }
 
     pub(crate) fn start(
@@ -294,7 +299,7 @@
     ) -> u64 {
         let ReceivedSyn { segment, datagram, arrived_at, received_at, first_arrived_at } = opened;
         let Requirements { service, regions, aim, priority } = wanted;
-        let opening = PendingFlow {
+        let flow = PendingFlow {
             segment,
             datagram,
             service,
@@ -303,43 +308,48 @@
             priority,
             received_at,
             first_arrived_at,
-            copied_at: arrived_at,
-            copy: segment.acknowledgement,
+            last_syn_at: arrived_at,
+            retransmission: segment.acknowledgement,
             offers: Vec::new(),
             offer_count: 0,
             wants_queue: false,
             wants_wait_queue: false,
             is_last_resort: false,
         };
-        self.pending.start(now, segment.flow(), opening)
+        self.table.start(now, segment.flow(), flow)
     }
 
     pub(crate) fn get_mut(&mut self, number: u64) -> Option<&mut PendingFlow> {
-        self.pending.get_mut(number)
+        self.table.get_mut(number)
     }
 
-    /// A copy of the opening packet came.
-    pub(crate) fn note_retransmission(&mut self, arrived_at: Duration, number: u64, copy: u32) {
-        if let Some(opening) = self.pending.get_mut(number) {
-            opening.copied_at = arrived_at;
-            opening.copy = copy;
+    /// Records a retransmission of the SYN.
+    pub(crate) fn note_retransmission(
+        &mut self,
+        arrived_at: Duration,
+        number: u64,
+        retransmission: u32,
+    ) {
+        if let Some(flow) = self.table.get_mut(number) {
+            flow.last_syn_at = arrived_at;
+            flow.retransmission = retransmission;
         }
     }
 
     pub(crate) fn finish(&mut self, number: u64) -> Option<PendingFlow> {
-        self.pending.finish(number)
+        self.table.finish(number)
     }
 
     pub(crate) fn wake_at(&mut self, number: u64, at: Duration) {
-        self.pending.wake_at(number, at);
+        self.table.wake_at(number, at);
     }
 
     pub(crate) fn next_wake_up(&self) -> Option<Duration> {
-        self.pending.next_wake_up()
+        self.table.next_wake_up()
     }
 
-    /// Takes an opening whose wake-up has come.
+    /// Returns a pending flow whose wake-up time has come.
     pub(crate) fn pop_due(&mut self, now: Duration) -> Option<u64> {
-        self.pending.pop_due(now)
+        self.table.pop_due(now)
     }
 }
