--- a/crates/carried/tests/choice.rs
+++ b/crates/carried/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which agents a balancer chooses when what it knows of them is old or missing.
+//! Which agents a balancer chooses when its load reports are old or missing.
 
 mod support;
 
@@ -10,7 +10,7 @@
 
 const WORK_US: u32 = 50_000;
 
-fn load(waiting: u16, work_us: u32) -> LoadReport {
+fn load_report(waiting: u16, work_us: u32) -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
@@ -32,9 +32,9 @@
     let mut balancer = new_balancer(1);
     let now = milliseconds(10);
     for agent in 1..=6 {
-        tell(&mut balancer, now, agent, load(1, WORK_US));
+        tell(&mut balancer, now, agent, load_report(1, WORK_US));
     }
-    tell(&mut balancer, now, 7, load(3, 0));
+    tell(&mut balancer, now, 7, load_report(3, 0));
     for port in 1..=12 {
         let chosen = first_offer(&mut balancer, now, port).0;
         assert_ne!(chosen, agent_address(7), "flow {port} went to a busier agent");
@@ -42,14 +42,14 @@
 }
 
 #[test]
-fn an_agent_that_has_rested_is_not_taken_for_the_fastest() {
+fn an_agent_with_an_old_measurement_is_not_taken_for_the_fastest() {
     let mut balancer = new_balancer(1);
     let now = milliseconds(10);
     for agent in 1..=6 {
-        tell(&mut balancer, now, agent, load(1, WORK_US));
+        tell(&mut balancer, now, agent, load_report(1, WORK_US));
     }
-    let rested = LoadReport { measured_ms_ago: 60_000, ..load(3, WORK_US) };
-    tell(&mut balancer, now, 7, rested);
+    let outdated = LoadReport { measured_ms_ago: 60_000, ..load_report(3, WORK_US) };
+    tell(&mut balancer, now, 7, outdated);
     for port in 1..=12 {
         let chosen = first_offer(&mut balancer, now, port).0;
         assert_ne!(chosen, agent_address(7), "flow {port} went to a busier agent");
@@ -57,26 +57,36 @@
 }
 
 #[test]
-fn an_old_word_of_rest_does_not_draw_the_flows_of_all_balancers() {
+fn an_old_report_of_an_idle_back_end_does_not_attract_the_flows_of_all_balancers() {
     let now = milliseconds(1_010);
     let mut chosen: HashMap<SocketAddrV4, u32> = HashMap::new();
     for seed in 0..100 {
         let mut balancer = new_balancer(seed);
         for agent in 1..=20 {
-            tell(&mut balancer, milliseconds(10), agent, load(u16::from(agent > 1) * 2, WORK_US));
+            tell(
+                &mut balancer,
+                milliseconds(10),
+                agent,
+                load_report(u16::from(agent > 1) * 2, WORK_US),
+            );
         }
         *chosen.entry(first_offer(&mut balancer, now, 1).0).or_default() += 1;
     }
-    let most = chosen.values().max().copied().unwrap_or_default();
-    assert!(most <= 20, "{most} of 100 balancers chose one of 20 agents");
+    let busiest = chosen.values().max().copied().unwrap_or_default();
+    assert!(busiest <= 20, "{busiest} of 100 balancers chose one of 20 agents");
 }
 
 #[test]
-fn a_fresh_word_of_rest_is_followed_in_a_small_pool() {
+fn a_fresh_report_of_an_idle_back_end_is_followed_in_a_small_pool() {
     for seed in 0..20 {
         let mut balancer = new_balancer(seed);
         for agent in 1..=7 {
-            tell(&mut balancer, milliseconds(10), agent, load(u16::from(agent > 1) * 2, WORK_US));
+            tell(
+                &mut balancer,
+                milliseconds(10),
+                agent,
+                load_report(u16::from(agent > 1) * 2, WORK_US),
+            );
         }
         assert_eq!(first_offer(&mut balancer, milliseconds(11), 1).0, agent_address(1));
     }
@@ -87,15 +97,15 @@
     let mut balancer = new_balancer(1);
     let now = milliseconds(10);
     for agent in 1..=10 {
-        tell(&mut balancer, now, agent, load(4, WORK_US / 2));
+        tell(&mut balancer, now, agent, load_report(4, WORK_US / 2));
     }
     for agent in 11..=14 {
-        tell(&mut balancer, now, agent, load(0, WORK_US));
+        tell(&mut balancer, now, agent, load_report(0, WORK_US));
     }
     let mut offer = first_offer(&mut balancer, milliseconds(11), 1);
     let mut asked = vec![offer.0];
     while offer.0.ip().octets()[3] <= 10 {
-        let report = load(4, WORK_US / 2);
+        let report = load_report(4, WORK_US / 2);
         let message = Message::Declined { number: offer.1, reason: DeclineReason::Busy, report };
         balancer.handle_peer(milliseconds(12), offer.0, &message.encode());
         let next = offers(&outputs_of(&mut balancer));
@@ -105,12 +115,12 @@
     assert!(asked.len() <= 3, "{asked:?}");
 }
 
-/// A balancer of zone `a` with agents of two zones: numbers up to `near` are of its own zone.
-fn two_zones(near: u8, all: u8, waiting: impl Fn(u8) -> u16) -> CarriedBalancer {
+/// A balancer in zone `a` with agents in two zones; those numbered up to `own_zone` are in its own.
+fn balancer_with_two_zones(own_zone: u8, all: u8, waiting: impl Fn(u8) -> u16) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     for agent in 1..=all {
-        let zone = if agent <= near { "a" } else { "b" };
-        let report = load(waiting(agent), WORK_US);
+        let zone = if agent <= own_zone { "a" } else { "b" };
+        let report = load_report(waiting(agent), WORK_US);
         tell_from_zone(&mut balancer, milliseconds(10), agent, zone, report);
     }
     balancer
@@ -119,27 +129,30 @@
 #[test]
 fn a_zones_own_back_ends_are_used_while_they_have_slots_to_spare() {
     for waiting in 0..=2 {
-        let mut balancer = two_zones(2, 8, |agent| if agent <= 2 { waiting } else { 0 });
+        let mut balancer =
+            balancer_with_two_zones(2, 8, |agent| if agent <= 2 { waiting } else { 0 });
         let chosen = first_offer(&mut balancer, milliseconds(10), 1).0;
         let own = [agent_address(1), agent_address(2)];
         assert!(own.contains(&chosen), "{waiting} of 4 slots are used: {chosen}");
     }
     for waiting in [5, 6, 8] {
-        let mut balancer = two_zones(2, 8, |agent| if agent <= 2 { waiting } else { 0 });
+        let mut balancer =
+            balancer_with_two_zones(2, 8, |agent| if agent <= 2 { waiting } else { 0 });
         let chosen = first_offer(&mut balancer, milliseconds(10), 1).0;
-        assert_ne!(chosen, agent_address(1), "{waiting} wait before 4 slots");
-        assert_ne!(chosen, agent_address(2), "{waiting} wait before 4 slots");
+        assert_ne!(chosen, agent_address(1), "{waiting} requests wait for 4 slots");
+        assert_ne!(chosen, agent_address(2), "{waiting} requests wait for 4 slots");
     }
 }
 
 #[test]
 fn in_a_large_service_a_zones_own_back_ends_are_among_those_compared() {
-    // One in twenty is of the balancer's zone: of eight of all, most samples would hold none.
-    let mut balancer = two_zones(10, 200, |_| 0);
+    // One agent in twenty is in the balancer's zone: most samples of eight out of all agents would
+    // contain none of them.
+    let mut balancer = balancer_with_two_zones(10, 200, |_| 0);
     for port in 1..=100 {
         let (chosen, number) = first_offer(&mut balancer, milliseconds(10), port);
         assert!((1..=10).any(|agent| agent_address(agent) == chosen), "flow {port} to {chosen}");
-        let message = Message::Placed { number, report: load(0, WORK_US) };
+        let message = Message::Placed { number, report: load_report(0, WORK_US) };
         balancer.handle_peer(milliseconds(10), chosen, &message.encode());
     }
 }
@@ -149,12 +162,12 @@
     let work_us = |agent: u8| if agent == 1 { 3 * WORK_US } else { WORK_US };
     let mut balancer = new_balancer(1);
     for agent in 1..=6 {
-        tell(&mut balancer, milliseconds(10), agent, load(0, work_us(agent)));
+        tell(&mut balancer, milliseconds(10), agent, load_report(0, work_us(agent)));
     }
     for port in 1..=30 {
         let (chosen, number) = first_offer(&mut balancer, milliseconds(11), port);
         assert_ne!(chosen, agent_address(1), "flow {port}");
-        let report = load(0, work_us(chosen.ip().octets()[3]));
+        let report = load_report(0, work_us(chosen.ip().octets()[3]));
         let message = Message::Placed { number, report };
         balancer.handle_peer(milliseconds(11), chosen, &message.encode());
     }
