--- a/crates/carried/src/backend.rs
+++ b/crates/carried/src/backend.rs
@@ -1,4 +1,6 @@
 //! State of the back end beside an agent, as its own heartbeats report it.
+//!
+//! A *start* is one run of the back end's process; its [`Incarnation`] identifies it.
 
 use crate::incarnation::{Incarnation, Succession};
 use crate::message::BackendCondition;
@@ -172,8 +174,8 @@
             self.current.as_ref().map_or(Duration::ZERO, |current| current.received_at);
         let is_alive = self.backdated.as_ref().is_some_and(|earlier| {
             let is_same = earlier.incarnation == report.incarnation;
-            let both_since = earlier.first_received.max(received_at);
-            let is_late = now.saturating_sub(both_since) >= MAX_HEARTBEAT_DELAY;
+            let silent_since = earlier.first_received.max(received_at);
+            let is_late = now.saturating_sub(silent_since) >= MAX_HEARTBEAT_DELAY;
             is_same && report.sequence > earlier.sequence && is_late
         });
         if is_alive {
@@ -232,19 +234,19 @@
         if self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.incarnation == *gone) {
             self.unconfirmed = None;
         }
-        let mut over = gone;
+        let mut ended = gone;
         match &mut self.current {
             Some(current) if departure_ends(gone, &current.incarnation) => {
                 current.is_leaving = true;
                 current.has_departed = true;
-                over = if gone.born_ms.is_none() { &current.incarnation } else { gone };
+                ended = if gone.born_ms.is_none() { &current.incarnation } else { gone };
             }
             Some(_) => {}
             // The agent has no record of it (it was restarted): from now on only another start is
             // accepted.
             None => self.is_healthy_at_start = false,
         }
-        remember(&mut self.departed, over.clone());
+        remember(&mut self.departed, ended.clone());
     }
 
     /// Records the answer to a health check, made before the back end has sent a heartbeat.
@@ -277,8 +279,8 @@
 /// Whether a heartbeat comes from a start that has sent a departure notice, or from an earlier one.
 fn belongs_to_departed(report: &BackendReport, gone: &Incarnation) -> bool {
     match (report.incarnation.compare(gone), gone.born_ms) {
-        // The notice did not say which start it meant: the first heartbeats of a new start come
-        // after it.
+        // The notice did not say which start it meant. Only a start that is sending its first
+        // heartbeats can have begun after the notice.
         (Succession::Later, None) => report.sequence > MAX_INITIAL_SEQUENCE,
         (Succession::Later | Succession::OtherId, _) => false,
         (Succession::Same | Succession::Earlier | Succession::Unnamed, _) => true,
@@ -292,10 +294,10 @@
 }
 
 /// Stores a start that is not accepted yet.
-fn set_unconfirmed(held: &mut Option<UnconfirmedStart>, now: Duration, report: &BackendReport) {
-    let same = held.as_ref().filter(|unconfirmed| unconfirmed.incarnation == report.incarnation);
+fn set_unconfirmed(slot: &mut Option<UnconfirmedStart>, now: Duration, report: &BackendReport) {
+    let same = slot.as_ref().filter(|unconfirmed| unconfirmed.incarnation == report.incarnation);
     let first_received = same.map_or(now, |unconfirmed| unconfirmed.first_received);
-    *held = Some(UnconfirmedStart {
+    *slot = Some(UnconfirmedStart {
         incarnation: report.incarnation.clone(),
         sequence: report.sequence,
         first_received,
--- a/crates/carried/src/breaker.rs
+++ b/crates/carried/src/breaker.rs
@@ -24,7 +24,7 @@
 static CHART: LazyLock<TypedChart<BreakerState, BreakerEvent>> = LazyLock::new(|| {
     let text = include_str!("../../../charts/breaker.toml");
     // The text is compiled in, and a test parses it.
-    TypedChart::parse("charts/breaker.toml", text).expect("a chart without findings")
+    TypedChart::parse("charts/breaker.toml", text).expect("charts/breaker.toml must be valid")
 });
 
 /// State of the breaker.
--- a/crates/carried/src/lookup.rs
+++ b/crates/carried/src/lookup.rs
@@ -19,7 +19,8 @@
 pub(crate) const TRIAL_TIMEOUT: Duration = Duration::from_millis(60);
 /// Packets buffered per lookup at most: more than a caller has in flight.
 const MAX_BUFFERED_PACKETS: usize = 16;
-/// Back ends that may get a trial packet while the owner may be an agent that cannot be asked now.
+/// Maximum number of back ends that get a trial packet while the owner may be an agent that cannot
+/// be asked now.
 pub(crate) const MAX_TRIALS: usize = 2;
 /// Number of back ends in the first round of trials; it doubles with each round.
 ///
@@ -27,15 +28,16 @@
 /// zone or of all others, so two rounds, of 4 and 8, nearly always reach the owner. Rounds of 2,
 /// then 8, then all the rest sent ten times as many packets for a flow whose owner joined later.
 pub(crate) const INITIAL_TRIALS: usize = 4;
-/// Number of times that the round of trials doubles.
+/// After this many doublings, further rounds of trials stay at the same size.
 pub(crate) const MAX_TRIAL_DOUBLINGS: u32 = 4;
 /// Delay before the agents that have not answered are asked again; it doubles up to the maximum.
 pub(crate) const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(40);
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(640);
-/// Bound of the exponent of the retry delay.
+/// Maximum exponent of the retry delay.
 const MAX_DELAY_DOUBLINGS: u32 = 8;
-/// How long an agent's answer is valid and how long a packet is kept. The caller retransmits older
-/// packets within 1.6 s, and it may reuse its port for another flow.
+/// How long an agent's answer is valid and how long a packet is kept. After this time the caller
+/// may have reused its port for another flow; older packets are left to its retransmissions, which
+/// come within 1.6 s.
 const ANSWER_TTL: Duration = Duration::from_millis(1_500);
 /// A lookup is dropped this long after the caller's last packet.
 pub(crate) const LOOKUP_TIMEOUT: Duration = Duration::from_secs(4);
--- a/crates/carried/src/pending_flow.rs
+++ b/crates/carried/src/pending_flow.rs
@@ -85,7 +85,8 @@
 
 /// How long the caller continues its attempt, less the margin; `None` if that is too short to wait.
 /// `syn` is the first SYN of the attempt that this balancer got, and `first_arrived_at` the
-/// earliest time at which it can have arrived.
+/// earliest time at which it can have arrived. The `acknowledgement` field of a SYN holds the
+/// number of the retransmission.
 fn remaining_wait(now: Duration, syn: &Segment, first_arrived_at: Duration) -> Option<Duration> {
     let sent_after = SYN_SEND_OFFSETS.get(syn.acknowledgement as usize);
     let sent_after = sent_after.copied().unwrap_or(SYN_SEND_OFFSETS[SYN_SEND_OFFSETS.len() - 1]);
@@ -294,11 +295,11 @@
     pub(crate) fn start(
         &mut self,
         now: Duration,
-        opened: ReceivedSyn,
-        wanted: Requirements,
+        syn: ReceivedSyn,
+        requirements: Requirements,
     ) -> u64 {
-        let ReceivedSyn { segment, datagram, arrived_at, received_at, first_arrived_at } = opened;
-        let Requirements { service, regions, aim, priority } = wanted;
+        let ReceivedSyn { segment, datagram, arrived_at, received_at, first_arrived_at } = syn;
+        let Requirements { service, regions, aim, priority } = requirements;
         let flow = PendingFlow {
             segment,
             datagram,
--- a/crates/carried/src/pool.rs
+++ b/crates/carried/src/pool.rs
@@ -16,7 +16,7 @@
 /// Identifies an agent by the address at which it receives messages.
 pub(crate) type AgentId = SocketAddrV4;
 
-/// Random share that is added to a cost at most.
+/// Maximum random addition to a cost, as a share of the cost.
 const NOISE_SHARE: f64 = 0.1;
 /// Number of candidates compared in a large service, taken from the top of the flow's ranking: this
 /// many of the balancer's own zone and this many of all others. Balancers with the same knowledge
@@ -163,7 +163,8 @@
     }
 
     /// The best agent to offer a new flow of `service` to, among those that `may_ask` accepts.
-    /// `noise` returns random numbers from 0 to 1, which break ties.
+    /// `interval` is the heartbeat interval; `noise` returns random numbers from 0 to 1, which
+    /// break ties.
     pub(crate) fn best(
         &self,
         now: Duration,
--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -274,8 +274,8 @@
             .is_some_and(|since| now.saturating_sub(since) < NEWLY_ACCEPTING_DURATION)
     }
 
-    /// Whether the agent has just reported that no slot is free, or this balancer has used up, since
-    /// the report, the free slots or the new flows allowed during warm-up.
+    /// Whether the agent has just reported that no slot is free, or this balancer has used up,
+    /// since the report, the free slots or the new flows allowed during warm-up.
     pub(crate) fn is_known_full(&self, now: Duration) -> bool {
         let capacity = u32::from(self.report.capacity);
         let is_full = u32::from(self.report.waiting) + self.offered_since_report >= capacity;
