--- a/crates/carried/src/balancer/knowledge.rs
+++ b/crates/carried/src/balancer/knowledge.rs
@@ -19,7 +19,7 @@
     }
 
     /// Learns of nodes by hearsay; there may be others.
-    pub fn hear_of_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
+    pub fn add_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
         self.standing.learn(now, members);
     }
 
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -188,7 +188,7 @@
 
     /// Learns for how long datagrams of callers that come next may have waited in a socket, as far as
     /// its reader knows.
-    pub fn note_input_waited(&mut self, waited: Duration) {
+    pub fn note_input_age(&mut self, waited: Duration) {
         self.input_waited = waited;
     }
 
--- a/crates/carried/tests/stale_input.rs
+++ b/crates/carried/tests/stale_input.rs
@@ -19,7 +19,7 @@
 }
 
 fn receive_copy(balancer: &mut CarriedBalancer, copy: u32, waited: u64) -> Vec<Output> {
-    balancer.note_input_waited(milliseconds(waited));
+    balancer.note_input_age(milliseconds(waited));
     let opening = Segment { acknowledgement: copy, ..opening(1) };
     balancer.handle_caller(milliseconds(1_000), &packet(&opening));
     outputs_of(balancer)
@@ -53,7 +53,7 @@
 #[test]
 fn a_caller_is_not_reset_for_a_packet_that_may_be_as_old_as_its_next_copy() {
     let mut balancer = new_balancer(1);
-    balancer.note_input_waited(milliseconds(150));
+    balancer.note_input_age(milliseconds(150));
     balancer.handle_caller(milliseconds(1_000), &packet(&opening(1)));
     // Nobody is there to ask; by the time that is given up the next copy has gone out.
     let resets = (1_000..1_400).flat_map(|at| {
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -70,7 +70,7 @@
     /// Tells a balancer for how long what it takes next may have waited.
     pub(super) fn note_waited(&mut self, node: usize, waited: Duration) {
         if let Some(balancer) = self.nodes[node].balancer() {
-            balancer.note_input_waited(waited);
+            balancer.note_input_age(waited);
         }
     }
 
--- a/crates/node/src/balancer_core.rs
+++ b/crates/node/src/balancer_core.rs
@@ -52,7 +52,7 @@
     fn learn(&mut self, now: Duration, news: &MemberNews) {
         match news.is_whole {
             true => self.balancer.learn_members(now, &news.members),
-            false => self.balancer.hear_of_members(now, &news.members),
+            false => self.balancer.add_members(now, &news.members),
         }
     }
 
@@ -89,7 +89,7 @@
     }
 
     fn note_local_waited(&mut self, waited: Duration) {
-        self.balancer.note_input_waited(waited);
+        self.balancer.note_input_age(waited);
     }
 
     fn note_store(&mut self, now: Duration, answers: bool) {
