--- a/crates/carried/src/balancer/fence.rs
+++ b/crates/carried/src/balancer/admission_pause.rs
@@ -6,33 +6,33 @@
 use super::*;
 
 /// Longest time without new flows after a standstill.
-const FENCE_LASTS: Duration = Duration::from_millis(150);
+const MAX_PAUSE: Duration = Duration::from_millis(150);
 /// What comes earlier waited in a socket all the while: words of peers that are old themselves, and
 /// opening packets that would take slots for nobody.
-const FENCE_LEAST: Duration = Duration::from_millis(20);
+const MIN_PAUSE: Duration = Duration::from_millis(20);
 /// Peers that are asked for their word at once.
-const PEERS_ASKED: usize = 8;
+const MAX_PEERS_ASKED: usize = 8;
 
 /// Until when new flows are not taken.
 #[derive(Debug, Default)]
-pub(super) struct Fence {
+pub(super) struct AdmissionPause {
     until: Option<Duration>,
     /// No word before this counts.
-    least: Duration,
+    earliest_end: Duration,
 }
 
-impl Fence {
-    pub(super) fn is_up(&self, now: Duration) -> bool {
+impl AdmissionPause {
+    pub(super) fn is_active(&self, now: Duration) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    fn raise(&mut self, now: Duration) {
-        self.until = Some(now + FENCE_LASTS);
-        self.least = now + FENCE_LEAST;
+    fn start(&mut self, now: Duration) {
+        self.until = Some(now + MAX_PAUSE);
+        self.earliest_end = now + MIN_PAUSE;
     }
 
-    pub(super) fn lift(&mut self, now: Duration) {
-        if now >= self.least {
+    pub(super) fn end(&mut self, now: Duration) {
+        if now >= self.earliest_end {
             self.until = None;
         }
     }
@@ -42,23 +42,23 @@
     /// The process has stood still for longer than any peer waits.
     pub fn resume(&mut self, now: Duration) {
         if self.policies.has(Policy::Fence) {
-            self.fence.raise(now);
+            self.admission_pause.start(now);
         }
-        self.acquaintance.note_standstill(now);
+        self.absence_evidence.note_stall(now);
         self.counters.standstills += 1;
         log::warn!(configuration:% = self.standing.configuration.version; "resumed_after_standstill");
         let peers: Vec<SocketAddrV4> =
             self.standing.membership.peers().map(|(address, _)| *address).collect();
         let first = self.random.random_range(0..peers.len().max(1));
-        for peer in peers.iter().cycle().skip(first).take(PEERS_ASKED.min(peers.len())) {
+        for peer in peers.iter().cycle().skip(first).take(MAX_PEERS_ASKED.min(peers.len())) {
             self.send_heartbeat(now, *peer, true);
         }
     }
 
     /// A peer's word: when it is not ahead, nothing was missed.
-    pub(super) fn compare_with_peer(&mut self, now: Duration, configuration: Version) {
+    pub(super) fn note_peer_version(&mut self, now: Duration, configuration: Version) {
         if self.standing.configuration.version.covers(&configuration) {
-            self.fence.lift(now);
+            self.admission_pause.end(now);
         }
     }
 }
--- a/crates/carried/src/balancer/audit.rs
+++ b/crates/carried/src/balancer/audit.rs
@@ -6,7 +6,7 @@
 //! of a node that nobody has heard for long is removed.
 //!
 //! Invariants:
-//! - An entry is removed only after its node was silent here for [`DEAD_AFTER`], while this process ran, or
+//! - An entry is removed only after its node was silent here for [`DEAD_TIMEOUT`], while this process ran, or
 //!   has said good-bye and was silent for four intervals.
 //! - A node that lives and whose entry is missing is told by every auditor that hears it, each time.
 
@@ -18,18 +18,18 @@
 /// nodes that start, which hear of others from peers as well.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(60);
 /// An interval is this share of the mean at least, and as much longer at most.
-const LEAST_SHARE: f64 = 0.75;
+const MIN_INTERVAL_SHARE: f64 = 0.75;
 /// Audits after the store's return come within this time, not all at once.
 const RETURN_SPREAD: Duration = Duration::from_millis(300);
 /// A node that has only just come may be missing from a list that is seconds old. In the newest list it is
 /// not: a store that has gone back has lost the entries of just those that had come last.
-const SETTLING: Duration = Duration::from_secs(10);
+const SETTLING_TIME: Duration = Duration::from_secs(10);
 /// A node that was silent for so long is dead. Longer than freezes, cuts and stores' outages last, and
 /// shorter than peers remember it.
-const DEAD_AFTER: Duration = Duration::from_secs(540);
+const DEAD_TIMEOUT: Duration = Duration::from_secs(540);
 
 /// An agent whose back end had ended when it spoke last, and which was silent since, has left its machine.
-const GOODBYE_AFTER: Duration = Duration::from_secs(2);
+const DEPARTED_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// A node that the shared store's list names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -90,7 +90,7 @@
         }
         if has_returned {
             self.audit.is_urgent = true;
-            self.audit.next = Some(now + RETURN_SPREAD.mul_f64(self.audit_share()));
+            self.audit.next = Some(now + RETURN_SPREAD.mul_f64(self.jitter_fraction()));
         } else if self.audit.next.is_none() {
             self.audit.next = Some(self.next_audit(now));
         }
@@ -103,11 +103,12 @@
     }
 
     fn next_audit(&mut self, now: Duration) -> Duration {
-        now + AUDIT_INTERVAL.mul_f64(LEAST_SHARE + (2.0 - 2.0 * LEAST_SHARE) * self.audit_share())
+        now + AUDIT_INTERVAL
+            .mul_f64(MIN_INTERVAL_SHARE + (2.0 - 2.0 * MIN_INTERVAL_SHARE) * self.jitter_fraction())
     }
 
     /// A number from 0 to 1, another one each time: auditors do not ask at one moment.
-    fn audit_share(&mut self) -> f64 {
+    fn jitter_fraction(&mut self) -> f64 {
         self.audit.planned += 1;
         let me = self.standing.membership.me().address;
         draw(&me, &me, self.audit.planned) as f64 / u64::MAX as f64
@@ -128,7 +129,7 @@
         let peers = self.standing.membership.peers();
         let is_missing = |address: &SocketAddrV4, peer: &Peer| {
             let is_alive = peer.heard_at.is_some_and(|at| now.saturating_sub(at) <= patience);
-            let may_be_told = list.is_newest || peer.is_settled(now, SETTLING);
+            let may_be_told = list.is_newest || peer.is_settled(now, SETTLING_TIME);
             is_alive && may_be_told && !has_entry.contains(address)
         };
         let missing = peers.filter(|(address, peer)| is_missing(address, peer));
@@ -148,8 +149,9 @@
 
     fn is_dead(&self, now: Duration, address: &SocketAddrV4) -> bool {
         let last_word = self.standing.membership.last_word(address).unwrap_or(now);
-        let patience = (self.standing.membership.interval() * ALIVE_INTERVALS).max(GOODBYE_AFTER);
-        let is_over = if self.has_said_goodbye(address) { patience } else { DEAD_AFTER };
+        let patience =
+            (self.standing.membership.interval() * ALIVE_INTERVALS).max(DEPARTED_TIMEOUT);
+        let is_over = if self.has_departed(address) { patience } else { DEAD_TIMEOUT };
         now.saturating_sub(last_word) >= is_over
     }
 }
--- a/crates/carried/src/balancer/established.rs
+++ b/crates/carried/src/balancer/established.rs
@@ -5,10 +5,10 @@
 impl<F: SegmentFormat> CarriedBalancer<F> {
     pub(super) fn handle_established(&mut self, now: Duration, segment: &Segment, datagram: &[u8]) {
         let flow = segment.flow();
-        if let Some(number) = self.openings.number_of(&flow) {
+        if let Some(number) = self.pending_flows.number_of(&flow) {
             // The caller goes on: some agent has placed the flow, though its answer is not here.
             let asked =
-                self.openings.finish(number).map(|opening| self.describe_asked(now, &opening));
+                self.pending_flows.finish(number).map(|pending| self.describe_asked(now, &pending));
             self.counters.openings_overtaken += 1;
             log::info!(
                 flow = flow_name(&flow).as_str(), asked = asked.unwrap_or_default().as_str(),
@@ -19,13 +19,13 @@
         let finishes = segment.finishes || segment.resets;
         match self.flows.touch(now, idle, &flow, finishes) {
             // What it held is over, as far as is known; whether it is, the search tells.
-            Some(agent) if self.is_gone(now, &agent) || self.has_said_goodbye(&agent) => {
+            Some(agent) if self.is_gone(now, &agent) || self.has_departed(&agent) => {
                 self.flows.remove(&flow, agent);
             }
             Some(agent) => return self.forward(agent, datagram),
             None => {}
         }
-        self.look_up(now, segment, datagram, None);
+        self.handle_unknown_flow(now, segment, datagram, None);
     }
 
     fn forward(&mut self, to: SocketAddrV4, datagram: &[u8]) {
@@ -46,7 +46,7 @@
         match self.flows.agent(&flow) {
             // Found meanwhile, while packets were still under way to the wrong agent.
             Some(agent) => self.forward(agent, datagram),
-            None => self.look_up(now, &segment, datagram, Some(from)),
+            None => self.handle_unknown_flow(now, &segment, datagram, Some(from)),
         }
     }
 }
--- a/crates/carried/src/balancer/repair.rs
+++ b/crates/carried/src/balancer/lookup_limiter.rs
@@ -13,33 +13,33 @@
 //! - Flows whose callers wait for an answer are searched for before all others, each in the order in
 //!   which they came.
 //! - No more searches are under way than the window allows. It shrinks while the process runs late
-//!   and grows while it does not, and is never less than [`LEAST_WINDOW`].
+//!   and grows while it does not, and is never less than [`MIN_WINDOW`].
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 /// Searches under way at first: what a process with a tenth of a core asks about in a few
 /// milliseconds.
-const FIRST_WINDOW: f64 = 128.0;
+const INITIAL_WINDOW: f64 = 128.0;
 /// Searches that go on however late the process runs: its flows are found one day.
-const LEAST_WINDOW: f64 = 4.0;
+const MIN_WINDOW: f64 = 4.0;
 /// Most searches under way.
-const MOST_WINDOW: f64 = 4_096.0;
+const MAX_WINDOW: f64 = 4_096.0;
 /// Timers that are later than this take the processor from callers' packets: they wait as long, and
 /// the shortest aims of callers are some 100 ms.
-const LATE: Duration = Duration::from_millis(15);
+const MAX_DELAY: Duration = Duration::from_millis(15);
 /// Time between two halvings: what was begun before the last one is still being worked off.
 const HALVING_INTERVAL: Duration = Duration::from_millis(100);
 /// A search that has found nothing for so long waits for agents that do not answer. It costs little
 /// from then on and makes room for another one.
-const ACTIVE_LASTS: Duration = Duration::from_millis(150);
+const ACTIVE_TIMEOUT: Duration = Duration::from_millis(150);
 /// Time between two looks at the searches that wait: their questions share messages.
-const LOOK_INTERVAL: Duration = Duration::from_millis(4);
+const START_INTERVAL: Duration = Duration::from_millis(4);
 
 /// The searches that wait, and how many may be under way.
 #[derive(Debug)]
-pub(super) struct Repair {
-    is_bounded: bool,
+pub(super) struct LookupLimiter {
+    is_limited: bool,
     window: f64,
     halved_at: Duration,
     /// Searches under way, by when they began.
@@ -51,12 +51,12 @@
     next_look: Option<Duration>,
 }
 
-impl Repair {
+impl LookupLimiter {
     /// Nothing to search for; without a bound where that is asked for.
-    pub(super) fn new(is_bounded: bool) -> Self {
-        Repair {
-            is_bounded,
-            window: FIRST_WINDOW,
+    pub(super) fn new(is_limited: bool) -> Self {
+        LookupLimiter {
+            is_limited,
+            window: INITIAL_WINDOW,
             halved_at: Duration::ZERO,
             active: BTreeSet::new(),
             urgent: VecDeque::new(),
@@ -89,15 +89,15 @@
         if self.active.remove(&(began_at, number))
             && now.saturating_sub(self.halved_at) > HALVING_INTERVAL
         {
-            self.window = (self.window + 1.0).min(MOST_WINDOW);
+            self.window = (self.window + 1.0).min(MAX_WINDOW);
         }
     }
 
     /// The process runs so late.
-    pub(super) fn note_lateness(&mut self, now: Duration, lateness: Duration) {
+    pub(super) fn note_scheduling_delay(&mut self, now: Duration, scheduling_delay: Duration) {
         let is_settled = now.saturating_sub(self.halved_at) >= HALVING_INTERVAL;
-        if lateness > LATE && is_settled {
-            self.window = (self.window / 2.0).max(LEAST_WINDOW);
+        if scheduling_delay > MAX_DELAY && is_settled {
+            self.window = (self.window / 2.0).max(MIN_WINDOW);
             self.halved_at = now;
         }
     }
@@ -112,14 +112,14 @@
     }
 
     /// As many searches as may have begun; those that wait are looked at again in a moment.
-    pub(super) fn note_looked(&mut self, now: Duration) {
-        self.next_look = (self.waiting() > 0).then_some(now + LOOK_INTERVAL);
+    pub(super) fn schedule_next(&mut self, now: Duration) {
+        self.next_look = (self.waiting() > 0).then_some(now + START_INTERVAL);
     }
 
     /// Searches that have been under way for long make room for others.
-    fn retire(&mut self, now: Duration) {
+    fn expire_active(&mut self, now: Duration) {
         while let Some((began_at, _)) = self.active.first() {
-            if now.saturating_sub(*began_at) < ACTIVE_LASTS {
+            if now.saturating_sub(*began_at) < ACTIVE_TIMEOUT {
                 return;
             }
             self.active.pop_first();
@@ -128,8 +128,8 @@
 
     /// The next search to look at, if one more may begin.
     pub(super) fn pop(&mut self, now: Duration) -> Option<u64> {
-        self.retire(now);
-        let is_full = self.is_bounded && self.active.len() as f64 >= self.window;
+        self.expire_active(now);
+        let is_full = self.is_limited && self.active.len() as f64 >= self.window;
         if is_full {
             return None;
         }
@@ -137,7 +137,7 @@
     }
 
     /// A search begins.
-    pub(super) fn note_begun(&mut self, now: Duration, number: u64) {
+    pub(super) fn note_started(&mut self, now: Duration, number: u64) {
         self.active.insert((now, number));
     }
 }
--- a/crates/carried/src/balancer/lookup_order.rs
+++ b/crates/carried/src/balancer/lookup_order.rs
@@ -8,7 +8,7 @@
 
 /// Agents are asked about one flow, at most; where there are more, nobody is told that its flow is
 /// over: the question would cost more than the wait.
-pub(super) const MOST_ASKED: usize = 512;
+pub(super) const MAX_ASKED: usize = 512;
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
     /// The agents to ask next: those of the services that the address stands or stood for, then
@@ -16,38 +16,38 @@
     pub(super) fn next_batch(&self, now: Duration, number: u64) -> Vec<SocketAddrV4> {
         let Some(lookup) = self.lookups.get(number) else { return Vec::new() };
         let asked = lookup.all_said().count();
-        let most = (FIRST_BATCH << lookup.batches.min(8)).min(MOST_ASKED.saturating_sub(asked));
+        let most = (FIRST_BATCH << lookup.batches.min(8)).min(MAX_ASKED.saturating_sub(asked));
         let address = lookup.segment.flow().service;
         let holders = self.routes.holders(&address);
         let agents = holders.flat_map(|service| self.pool.of_service(service));
-        let batch = self.first_open(now, lookup, agents.map(|(agent, _)| *agent), most);
+        let batch = self.first_unanswered(now, lookup, agents.map(|(agent, _)| *agent), most);
         if !batch.is_empty() {
             return batch;
         }
-        self.first_open(now, lookup, self.agents_known(), most)
+        self.first_unanswered(now, lookup, self.known_agents(), most)
     }
 
     /// What an agent has said of a flow, or would say: one that has forgotten flows is unsure.
-    pub(super) fn known_word(&self, lookup: &Lookup, agent: &SocketAddrV4) -> Option<Said> {
-        lookup.said(agent).or_else(|| self.has_forgotten(agent).then_some(Said::Unsure))
+    pub(super) fn known_answer(&self, lookup: &Lookup, agent: &SocketAddrV4) -> Option<Said> {
+        lookup.said(agent).or_else(|| self.may_have_forgotten(agent).then_some(Said::Unsure))
     }
 
     /// Whether an agent may hold flows that it does not know.
-    fn has_forgotten(&self, agent: &SocketAddrV4) -> bool {
+    fn may_have_forgotten(&self, agent: &SocketAddrV4) -> bool {
         let Some(view) = self.pool.view(agent) else { return false };
-        view.memory() != FlowMemory::Whole && !self.acquaintance.lost_power(view.started_at())
+        view.memory() != FlowMemory::Whole && !self.absence_evidence.lost_power(view.started_at())
     }
 
     /// The first of some agents whose word is not known, as the flow's ranking and new flows go.
-    fn first_open(
+    fn first_unanswered(
         &self,
         now: Duration,
         lookup: &Lookup,
         agents: impl Iterator<Item = SocketAddrV4>,
         most: usize,
     ) -> Vec<SocketAddrV4> {
-        let is_open = |agent: &SocketAddrV4| self.known_word(lookup, agent).is_none();
-        let ranked = self.in_order(&lookup.segment.flow(), agents.filter(is_open));
+        let is_open = |agent: &SocketAddrV4| self.known_answer(lookup, agent).is_none();
+        let ranked = self.sort_by_likelihood(&lookup.segment.flow(), agents.filter(is_open));
         ranked.into_iter().filter(|agent| !self.is_gone(now, agent)).take(most).collect()
     }
 
@@ -56,26 +56,28 @@
     pub(super) fn unsure_agents(&self, lookup: &Lookup) -> Vec<SocketAddrV4> {
         let flow = lookup.segment.flow();
         let is_unsure = |agent: &SocketAddrV4| {
-            self.known_word(lookup, agent) == Some(Said::Unsure) && self.may_enter(&flow, agent)
+            self.known_answer(lookup, agent) == Some(Said::Unsure)
+                && self.is_region_allowed(&flow, agent)
         };
         let holders = self.routes.holders(&flow.service);
         let of_holders = holders.flat_map(|service| self.pool.of_service(service));
         let likely: Vec<_> = of_holders.map(|(agent, _)| *agent).filter(is_unsure).collect();
         if !likely.is_empty() {
-            return self.in_order(&flow, likely.into_iter());
+            return self.sort_by_likelihood(&flow, likely.into_iter());
         }
-        self.in_order(&flow, self.agents_known().filter(is_unsure))
+        self.sort_by_likelihood(&flow, self.known_agents().filter(is_unsure))
     }
 
     /// Agents in the order in which they are likely to hold a flow: where the balancers of this zone
     /// place it, then where all others do.
-    fn in_order(
+    fn sort_by_likelihood(
         &self,
         flow: &FlowKey,
         agents: impl Iterator<Item = SocketAddrV4>,
     ) -> Vec<SocketAddrV4> {
         let ranking = Ranking::of(flow);
-        let rank = |agent: SocketAddrV4| (!self.is_near(&agent), ranking.rank(&agent), agent);
+        let rank =
+            |agent: SocketAddrV4| (!self.is_in_same_zone(&agent), ranking.rank(&agent), agent);
         let mut ranked: Vec<_> = agents.map(rank).collect();
         ranked.sort_unstable();
         let near = ranked.iter().filter(|(is_far, ..)| !is_far).count();
@@ -84,12 +86,12 @@
     }
 
     /// Whether what a flow's caller says may reach an agent's region.
-    fn may_enter(&self, flow: &FlowKey, agent: &SocketAddrV4) -> bool {
+    fn is_region_allowed(&self, flow: &FlowKey, agent: &SocketAddrV4) -> bool {
         let Some(route) = self.routes.route(&flow.service) else { return true };
         self.pool.view(agent).is_some_and(|view| view.is_in(&route.regions))
     }
 
-    fn is_near(&self, agent: &SocketAddrV4) -> bool {
+    fn is_in_same_zone(&self, agent: &SocketAddrV4) -> bool {
         self.pool.view(agent).is_some_and(|view| view.location.distance == Distance::SameZone)
     }
 }
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -16,19 +16,19 @@
 use crate::view::StartTime;
 
 /// Most searches under way; packets of further flows are left to their callers' repetitions.
-const MOST_LOOKUPS: usize = 4_096;
+const MAX_LOOKUPS: usize = 4_096;
 /// A search that takes longer is told of, with who holds it up: the shortest aims are some 100 ms.
-const LONG_SEARCH: Duration = Duration::from_millis(300);
+const SLOW_LOOKUP: Duration = Duration::from_millis(300);
 /// Agents that a line names at most.
-const MOST_DESCRIBED: usize = 4;
+const MAX_DESCRIBED: usize = 4;
 /// A caller that was told is remembered for so long.
-const TOLD_LASTS: Duration = Duration::from_secs(3);
+const RESET_TTL: Duration = Duration::from_secs(3);
 /// A caller that was told is told again when it repeats its packet after so long.
-const TOLD_AGAIN_AFTER: Duration = Duration::from_millis(50);
+const RESET_REPEAT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
     /// A packet of a flow that this balancer does not remember; `not_at` has sent it back.
-    pub(super) fn look_up(
+    pub(super) fn handle_unknown_flow(
         &mut self,
         now: Duration,
         segment: &Segment,
@@ -36,9 +36,9 @@
         not_at: Option<SocketAddrV4>,
     ) {
         self.counters.packets_located += 1;
-        self.note_power_loss(now);
+        self.check_power_loss(now);
         let flow = segment.flow();
-        let Some(number) = self.search(now, flow, segment, datagram) else {
+        let Some(number) = self.find_or_start_lookup(now, flow, segment, datagram) else {
             self.counters.lookups_passed_over += 1;
             return;
         };
@@ -46,18 +46,18 @@
         if let Some(agent) = not_at {
             lookup.note(agent, Said::Absent(now));
         }
-        if lookup.ended_at.is_some_and(|at| now.saturating_sub(at) >= TOLD_AGAIN_AFTER) {
-            return self.tell_over(now, number);
+        if lookup.ended_at.is_some_and(|at| now.saturating_sub(at) >= RESET_REPEAT_INTERVAL) {
+            return self.reset_caller(now, number);
         }
         if lookup.began_at.is_none() {
-            return self.begin_searches(now);
+            return self.start_lookups(now);
         }
         self.advance_lookup(now, number);
     }
 
     /// The search that a packet belongs to, which now holds the packet; `None` when there are too
     /// many.
-    fn search(
+    fn find_or_start_lookup(
         &mut self,
         now: Duration,
         flow: FlowKey,
@@ -70,12 +70,12 @@
             let was_urgent = lookup.demands_answer();
             lookup.add(now, segment, datagram);
             if lookup.began_at.is_none() && lookup.demands_answer() && !was_urgent {
-                self.repair.enqueue(now, known.unwrap_or_default(), true);
+                self.lookup_limiter.enqueue(now, known.unwrap_or_default(), true);
             }
             return known;
         }
         let before = known.and_then(|number| self.finish_lookup(now, number));
-        if self.lookups.len() >= MOST_LOOKUPS {
+        if self.lookups.len() >= MAX_LOOKUPS {
             return None;
         }
         self.counters.lookups_started += 1;
@@ -86,16 +86,16 @@
         let is_urgent = lookup.demands_answer();
         let number = self.lookups.start(now, flow, lookup);
         self.lookups.wake_at(number, now + LASTS);
-        self.repair.enqueue(now, number, is_urgent);
+        self.lookup_limiter.enqueue(now, number, is_urgent);
         Some(number)
     }
 
     /// Begins searches that wait, as many as may be under way.
-    pub(super) fn begin_searches(&mut self, now: Duration) {
-        if !self.repair.is_due(now) {
+    pub(super) fn start_lookups(&mut self, now: Duration) {
+        if !self.lookup_limiter.is_due(now) {
             return;
         }
-        while let Some(number) = self.repair.pop(now) {
+        while let Some(number) = self.lookup_limiter.pop(now) {
             let Some(lookup) = self.lookups.get_mut(number) else { continue };
             if !lookup.is_recent(now) {
                 self.finish_lookup(now, number);
@@ -104,18 +104,18 @@
             if lookup.began_at.is_none() {
                 lookup.began_at = Some(now);
                 lookup.next_ask = now + FIRST_PAUSE;
-                self.repair.note_begun(now, number);
+                self.lookup_limiter.note_started(now, number);
                 self.advance_lookup(now, number);
             }
         }
-        self.repair.note_looked(now);
+        self.lookup_limiter.schedule_next(now);
     }
 
     /// Ends a search.
     pub(super) fn finish_lookup(&mut self, now: Duration, number: u64) -> Option<Lookup> {
         let lookup = self.lookups.finish(number)?;
         if let Some(began_at) = lookup.began_at {
-            self.repair.note_settled(now, began_at, number);
+            self.lookup_limiter.note_settled(now, began_at, number);
         }
         Some(lookup)
     }
@@ -127,41 +127,41 @@
             return;
         };
         if lookup.ended_at.is_some() {
-            return self.lookups.wake_at(number, now + TOLD_LASTS);
+            return self.lookups.wake_at(number, now + RESET_TTL);
         }
         if let Some(until) = lookup.awaits_until(now) {
             return self.lookups.wake_at(number, until);
         }
         let batch = self.next_batch(now, number);
         if !batch.is_empty() {
-            return self.ask(now, number, batch);
+            return self.ask_agents(now, number, batch);
         }
-        if self.try_unsure(now, number) {
+        if self.try_unsure_agents(now, number) {
             return;
         }
-        if self.nobody_holds(now, number) {
-            return self.tell_over(now, number);
+        if self.no_agent_owns(now, number) {
+            return self.reset_caller(now, number);
         }
         let Some(lookup) = self.lookups.get(number) else { return };
         let next_ask = lookup.next_ask;
         self.lookups.wake_at(number, next_ask.max(now));
     }
 
-    fn ask(&mut self, now: Duration, number: u64, agents: Vec<SocketAddrV4>) {
+    fn ask_agents(&mut self, now: Duration, number: u64, agents: Vec<SocketAddrV4>) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         lookup.batches += 1;
-        let question = question(lookup);
+        let question = question_for(lookup);
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
             lookup.note(to, Said::Asked(now));
-            self.questions.add(now, to, question);
+            self.question_batches.add(now, to, question);
         }
         self.lookups.wake_at(number, now + WORD_PATIENCE);
     }
 
     /// Sends the questions that have gathered, if it is time.
     pub(super) fn send_questions(&mut self, now: Duration) {
-        for (to, questions) in self.questions.take_due(now) {
+        for (to, questions) in self.question_batches.take_due(now) {
             for part in questions.chunks(MOST_FLOWS_ASKED) {
                 let message = Message::Find { questions: part.to_vec() };
                 self.outputs.push_back(Output::ToPeer { to, message });
@@ -171,10 +171,10 @@
 
     /// Gives a packet to back ends whose agents may have forgotten the flow, the likeliest first;
     /// `false` when there are none, or none may be tried.
-    fn try_unsure(&mut self, now: Duration, number: u64) -> bool {
+    fn try_unsure_agents(&mut self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let Some(datagram) = lookup.trial_packet(now).cloned() else { return false };
-        let most = match self.others_deny(now, lookup) {
+        let most = match self.all_ruled_out_or_unsure(now, lookup) {
             true => FIRST_TRIALS << lookup.trial_rounds.min(MOST_TRIAL_DOUBLINGS),
             false => MOST_TRIALS.saturating_sub(lookup.trials),
         };
@@ -200,7 +200,7 @@
     }
 
     /// Tells the caller that its flow is over.
-    fn tell_over(&mut self, now: Duration, number: u64) {
+    fn reset_caller(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         let segment = lookup.segment;
         if !lookup.demands_answer() {
@@ -209,7 +209,7 @@
         let is_first = lookup.ended_at.replace(now).is_none();
         let (started, began_at) = (lookup.started, lookup.began_at.unwrap_or(now));
         lookup.take_waiting(now);
-        self.repair.note_settled(now, began_at, number);
+        self.lookup_limiter.note_settled(now, began_at, number);
         let age = now.saturating_sub(started);
         if is_first {
             self.latency.verdict.observe(age);
@@ -218,23 +218,23 @@
         let Some(lookup) = self.lookups.get(number) else { return };
         log::warn!(
             flow = flow_name(&segment.flow()).as_str(), reason = "nobody_holds",
-            age_ms = age.as_millis() as u64, said = self.describe_said(now, lookup).as_str(),
+            age_ms = age.as_millis() as u64, said = self.describe_answers(now, lookup).as_str(),
             configuration:% = self.standing.configuration.version; "flow_reset"
         );
         let datagram = self.format.reset(&segment);
         self.outputs.push_back(Output::ToCaller { host: *segment.source.ip(), datagram });
-        self.lookups.wake_at(number, now + TOLD_LASTS);
+        self.lookups.wake_at(number, now + RESET_TTL);
     }
 
     /// Who said what, and how long ago; those that denied as one.
-    fn describe_said(&self, now: Duration, lookup: &Lookup) -> String {
+    fn describe_answers(&self, now: Duration, lookup: &Lookup) -> String {
         let absent = lookup.all_said().filter_map(|(_, said)| match said {
             Said::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
             _ => None,
         });
         let (denials, oldest) =
             absent.fold((0, 0), |(count, oldest), age| (count + 1, oldest.max(age)));
-        let others = self.agents_known().filter_map(|agent| match lookup.said(&agent) {
+        let others = self.known_agents().filter_map(|agent| match lookup.said(&agent) {
             Some(Said::Absent(_)) => None,
             _ => Some(format!(",{}:gone", agent.ip())),
         });
@@ -267,17 +267,17 @@
         up_ms: u32,
         words: &[FlowWord],
     ) {
-        let lost_power = self.acquaintance.lost_power(Some(StartTime::of(now, up_ms)));
+        let lost_power = self.absence_evidence.lost_power(Some(StartTime::of(now, up_ms)));
         self.pool.note_alive(&from);
         for FlowWord { flow, word } in words {
             match word {
                 Word::Held => self.handle_held(now, from, (*flow).into()),
-                Word::Absent => self.handle_not_here(now, from, (*flow).into(), Said::Absent(now)),
+                Word::Absent => self.handle_not_owned(now, from, (*flow).into(), Said::Absent(now)),
                 // It would know the flow if it had been placed since everything lost power.
                 Word::Unsure if lost_power => {
-                    self.handle_not_here(now, from, (*flow).into(), Said::Absent(now));
+                    self.handle_not_owned(now, from, (*flow).into(), Said::Absent(now));
                 }
-                Word::Unsure => self.handle_not_here(now, from, (*flow).into(), Said::Unsure),
+                Word::Unsure => self.handle_not_owned(now, from, (*flow).into(), Said::Unsure),
                 // It is asked again in a moment.
                 Word::Early => {}
             }
@@ -285,7 +285,7 @@
     }
 
     /// An agent does not know a flow.
-    fn handle_not_here(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey, said: Said) {
+    fn handle_not_owned(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey, said: Said) {
         let number = self.lookups.number_of(&flow);
         let lookup = number.and_then(|number| Some((number, self.lookups.get_mut(number)?)));
         let Some((number, lookup)) = lookup.filter(|(_, lookup)| lookup.said(&from).is_some())
@@ -331,9 +331,9 @@
     }
 
     /// Tells once who holds up a search whose caller waits.
-    fn report_long(&mut self, now: Duration, number: u64) {
+    fn log_slow_lookup(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        let takes_long = now.saturating_sub(lookup.started) >= LONG_SEARCH;
+        let takes_long = now.saturating_sub(lookup.started) >= SLOW_LOOKUP;
         if !takes_long || lookup.was_reported || !lookup.demands_answer() {
             return;
         }
@@ -341,16 +341,16 @@
         let Some(lookup) = self.lookups.get(number) else { return };
         log::info!(
             flow = flow_name(&lookup.segment.flow()).as_str(), trials = lookup.trials,
-            agents = self.agents_known().count(),
-            held_up_by = self.describe_holding_up(now, lookup).as_str(); "search_takes_long"
+            agents = self.known_agents().count(),
+            held_up_by = self.describe_blocking(now, lookup).as_str(); "search_takes_long"
         );
     }
 
     /// The first agents that have not denied a flow, with what is known of each.
-    fn describe_holding_up(&self, now: Duration, lookup: &Lookup) -> String {
-        let holding_up = self.agents_known().filter(|agent| !self.denies(now, lookup, agent));
+    fn describe_blocking(&self, now: Duration, lookup: &Lookup) -> String {
+        let holding_up = self.known_agents().filter(|agent| !self.is_ruled_out(now, lookup, agent));
         let describe = |agent: SocketAddrV4| {
-            let word = match self.known_word(lookup, &agent) {
+            let word = match self.known_answer(lookup, &agent) {
                 None => "not_asked",
                 Some(Said::Asked(_)) => "silent",
                 Some(Said::Unsure) => "unsure",
@@ -360,29 +360,30 @@
             let heard = self.pool.view(&agent).map(|view| view.age(now).as_millis().to_string());
             format!("{}:{word}:{}ms", agent.ip(), heard.unwrap_or_else(|| "never".to_owned()))
         };
-        holding_up.take(MOST_DESCRIBED).map(describe).collect::<Vec<_>>().join(",")
+        holding_up.take(MAX_DESCRIBED).map(describe).collect::<Vec<_>>().join(",")
     }
 
     /// Asks those again that have not settled the matter.
     fn ask_again(&mut self, now: Duration, number: u64) {
-        self.report_long(now, number);
+        self.log_slow_lookup(now, number);
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         lookup.note_asked_again(now);
         let agents = lookup.unsettled(now);
-        let question = question(lookup);
-        let silent = if self.lateness.is_late(now) { Vec::new() } else { lookup.silent() };
+        let question = question_for(lookup);
+        let silent =
+            if self.scheduling_delay.is_delayed(now) { Vec::new() } else { lookup.silent() };
         for (agent, asked_at) in silent {
             self.pool.note_in_vain(&agent, asked_at);
         }
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
-            self.questions.add(now, to, question);
+            self.question_batches.add(now, to, question);
         }
     }
 }
 
 /// The question whether the searched flow lives at an agent.
-fn question(lookup: &Lookup) -> FlowQuestion {
+fn question_for(lookup: &Lookup) -> FlowQuestion {
     let Segment { acknowledges, acknowledgement, .. } = lookup.segment;
     let acknowledged = acknowledges.then_some(acknowledgement);
     FlowQuestion { flow: lookup.segment.flow().into(), acknowledged }
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -7,33 +7,33 @@
 //!   have forgotten it; no choice by hash or load is made for it.
 //! - A configuration with a lower version never replaces one with a higher version.
 
+mod admission_pause;
 mod audit;
-mod errands;
+mod delegated_reads;
 mod established;
-mod fence;
-mod knowledge;
-mod lateness;
+mod flow_absence;
+mod lookup_limiter;
 mod lookup_order;
 mod lookups;
-mod openings;
-mod questions;
+mod pending_flows;
+mod question_batches;
 mod refusals;
-mod repair;
+mod scheduling_delay;
 mod store_watch;
+mod system_state;
 mod unrouted;
-mod verdicts;
 
+use self::admission_pause::AdmissionPause;
 use self::audit::Audit;
 pub use self::audit::{ListedNode, NodeList};
-use self::errands::Errands;
-use self::fence::Fence;
-use self::lateness::Lateness;
-use self::questions::Questions;
+use self::delegated_reads::DelegatedReads;
+use self::flow_absence::AbsenceEvidence;
+use self::lookup_limiter::LookupLimiter;
+use self::question_batches::QuestionBatches;
 use self::refusals::Refusal;
-use self::repair::Repair;
+use self::scheduling_delay::SchedulingDelay;
 use self::store_watch::StoreWatch;
-use self::unrouted::Unrouted;
-use self::verdicts::Acquaintance;
+use self::unrouted::UnroutedFlows;
 use crate::configuration::{CarriedConfiguration, RoutingTable};
 use crate::counters::CarriedBalancerCounters;
 use crate::flow_cache::FlowCache;
@@ -63,24 +63,24 @@
 use std::time::Duration;
 
 /// An agent has so long to answer an offer before the next one is asked as well.
-const OFFER_PATIENCE: Duration = Duration::from_millis(30);
+const OFFER_TIMEOUT: Duration = Duration::from_millis(30);
 /// Time between two looks for an agent while there is none to ask.
-const SEARCH_INTERVAL: Duration = Duration::from_millis(10);
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 /// Agents asked for a free slot, at most.
-const MOST_FREE_ASKED: usize = 6;
+const MAX_FREE_SLOT_OFFERS: usize = 6;
 /// Agents asked for a place in their queue, at most.
-const MOST_QUEUE_ASKED: usize = 4;
+const MAX_QUEUE_OFFERS: usize = 4;
 /// The agent's word that a flow has waited in vain is here so long after.
-const LINE_GRACE: Duration = Duration::from_millis(40);
+const WAIT_QUEUE_GRACE: Duration = Duration::from_millis(40);
 /// Share of the aim for which a flow waits for an agent to ask.
-const SEARCH_SHARE: f64 = 0.2;
+const RETRY_SHARE: f64 = 0.2;
 /// Share of the aim within which an agent may still queue a request; the rest is for the ways and
 /// for requests that take longer than the mean.
 const QUEUE_SHARE: f64 = 0.5;
 /// The aim of routes that tell none.
 const DEFAULT_AIM: Duration = Duration::from_millis(500);
 /// Rest after which a flow is forgotten, until a configuration tells.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Settings of a balancer of carried flows.
 #[derive(Clone, Debug)]
@@ -103,19 +103,19 @@
     pool: Pool,
     policies: Policies,
     flows: FlowCache,
-    openings: Openings,
+    pending_flows: Openings,
     /// Flows that were asked for before any configuration was known.
-    unrouted: Unrouted,
+    unrouted: UnroutedFlows,
     lookups: Pending<Lookup>,
-    questions: Questions,
-    repair: Repair,
-    acquaintance: Acquaintance,
-    errands: Errands,
+    question_batches: QuestionBatches,
+    lookup_limiter: LookupLimiter,
+    absence_evidence: AbsenceEvidence,
+    delegated_reads: DelegatedReads,
     audit: Audit,
-    fence: Fence,
-    lateness: Lateness,
+    admission_pause: AdmissionPause,
+    scheduling_delay: SchedulingDelay,
     /// Callers' packets that are taken now may have waited for so long in a socket.
-    input_waited: Duration,
+    input_age: Duration,
     store_watch: StoreWatch,
     random: ChaCha8Rng,
     draining: bool,
@@ -130,22 +130,22 @@
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         CarriedBalancer {
             format,
-            repair: Repair::new(settings.policies.has(Policy::RepairBudget)),
+            lookup_limiter: LookupLimiter::new(settings.policies.has(Policy::RepairBudget)),
             standing: Standing::new(settings.node),
             routes: RoutingTable::default(),
             pool: Pool::new(settings.policies),
             policies: settings.policies,
             flows: FlowCache::default(),
-            unrouted: Unrouted::default(),
-            openings: Openings::new(random.random()),
+            unrouted: UnroutedFlows::default(),
+            pending_flows: Openings::new(random.random()),
             lookups: Pending::new(random.random()),
-            questions: Questions::default(),
-            acquaintance: Acquaintance::default(),
-            errands: Errands::default(),
+            question_batches: QuestionBatches::default(),
+            absence_evidence: AbsenceEvidence::default(),
+            delegated_reads: DelegatedReads::default(),
             audit: Audit::default(),
-            fence: Fence::default(),
-            lateness: Lateness::default(),
-            input_waited: Duration::ZERO,
+            admission_pause: AdmissionPause::default(),
+            scheduling_delay: SchedulingDelay::default(),
+            input_age: Duration::ZERO,
             store_watch: StoreWatch::new(settings.configuration_bound),
             random,
             draining: false,
@@ -183,13 +183,13 @@
     }
 
     fn idle_timeout(&self) -> Duration {
-        self.standing.idle_timeout(DEFAULT_IDLE)
+        self.standing.idle_timeout(DEFAULT_IDLE_TIMEOUT)
     }
 
     /// Learns for how long datagrams of callers that come next may have waited in a socket, as far as
     /// its reader knows.
     pub fn note_input_age(&mut self, waited: Duration) {
-        self.input_waited = waited;
+        self.input_age = waited;
     }
 
     /// Takes a datagram of a caller.
@@ -197,7 +197,7 @@
         self.counters.packets_received += 1;
         match self.format.parse(datagram) {
             Err(_) => self.counters.packets_malformed += 1,
-            Ok(segment) if segment.is_opening() => self.handle_opening(now, &segment, datagram),
+            Ok(segment) if segment.is_opening() => self.handle_syn(now, &segment, datagram),
             Ok(segment) => self.handle_established(now, &segment, datagram),
         }
     }
@@ -226,7 +226,7 @@
     fn handle_heartbeat(&mut self, now: Duration, from: SocketAddrV4, heartbeat: Heartbeat) {
         let (is_new, fetch) = self.standing.hear(now, from, &heartbeat);
         self.outputs.extend(fetch);
-        self.compare_with_peer(now, heartbeat.configuration);
+        self.note_peer_version(now, heartbeat.configuration);
         let interval = self.standing.membership.interval();
         if let Some(view) = self.pool.view(&from).filter(|view| view.is_suspect(now, interval)) {
             log::info!(agent:% = from, away_ms = view.age(now).as_millis() as u64; "agent_back");
@@ -258,16 +258,16 @@
     /// When [`CarriedBalancer::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Option<Duration> {
         let due = [
-            self.openings.next_wake_up(),
+            self.pending_flows.next_wake_up(),
             self.lookups.next_wake_up(),
-            self.questions.next_round(),
-            self.repair.next_look(),
+            self.question_batches.next_send(),
+            self.lookup_limiter.next_look(),
             self.unrouted.next_due(),
             self.standing.membership.next_due(),
-            self.errands.next(),
+            self.delegated_reads.next(),
             self.audit.next(),
             self.standing.next_end(),
-            Some(self.next_store_step()),
+            Some(self.next_store_action()),
         ];
         due.into_iter().flatten().min()
     }
@@ -275,9 +275,9 @@
     /// Does what is due at `now`. What peers have said by then is to be taken before: an answer that
     /// waits is not late, this process is.
     pub fn handle_timeout(&mut self, now: Duration) {
-        self.note_lateness(now);
-        while let Some(number) = self.openings.pop_due(now) {
-            self.wake_opening(now, number);
+        self.note_scheduling_delay(now);
+        while let Some(number) = self.pending_flows.pop_due(now) {
+            self.wake_pending(now, number);
         }
         while let Some(number) = self.lookups.pop_due(now) {
             self.wake_lookup(now, number);
@@ -285,26 +285,26 @@
         if self.standing.end_evacuations(now) {
             self.pool.evacuate(&self.standing.evacuated());
         }
-        self.open_kept(now);
-        self.begin_searches(now);
+        self.open_unrouted(now);
+        self.start_lookups(now);
         self.send_questions(now);
         for (peer, wants_reply) in self.standing.membership.take_due(now) {
             self.send_heartbeat(now, peer, wants_reply);
         }
-        self.run_errand(now);
+        self.request_delegated_read(now);
         self.follow_store(now);
         self.flows.sweep(now);
         self.forget_agents();
     }
 
     /// Learns how late the timer that is due is served.
-    fn note_lateness(&mut self, now: Duration) {
+    fn note_scheduling_delay(&mut self, now: Duration) {
         if !self.policies.has(Policy::OwnLateness) {
             return;
         }
         if let Some(due) = self.next_timeout().filter(|due| *due <= now) {
-            self.lateness.note(now, due);
-            self.repair.note_lateness(now, self.lateness.get(now));
+            self.scheduling_delay.note(now, due);
+            self.lookup_limiter.note_scheduling_delay(now, self.scheduling_delay.current(now));
         }
     }
 
@@ -331,11 +331,11 @@
             configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
             flows: self.flows.len() as u64,
             agents: self.pool.len() as u64,
-            lateness_milliseconds: self.lateness.get(now).as_millis() as u64,
-            lookups_waiting: self.repair.waiting() as u64,
-            lookup_window: self.repair.window(),
+            lateness_milliseconds: self.scheduling_delay.current(now).as_millis() as u64,
+            lookups_waiting: self.lookup_limiter.waiting() as u64,
+            lookup_window: self.lookup_limiter.window(),
             agents_suspect: self.pool.suspects(now, self.standing.membership.interval()) as u64,
-            store_unconfirmed_milliseconds: self.unconfirmed(now).as_millis() as u64,
+            store_unconfirmed_milliseconds: self.unconfirmed_for(now).as_millis() as u64,
             waits_at_store: u64::from(self.watches_store(now)),
             peers: self.standing.membership.len() as u64,
             ..self.counters
--- a/crates/carried/src/balancer/questions.rs
+++ b/crates/carried/src/balancer/question_batches.rs
@@ -6,33 +6,33 @@
 use std::time::Duration;
 
 /// Time between two rounds of questions: those of many flows share their messages.
-const ROUND: Duration = Duration::from_millis(4);
+const BATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 /// Questions that wait for the next round, by the agent that they go to.
 #[derive(Debug, Default)]
-pub(super) struct Questions {
+pub(super) struct QuestionBatches {
     by_agent: BTreeMap<SocketAddrV4, Vec<FlowQuestion>>,
-    last_round: Option<Duration>,
-    next_round: Option<Duration>,
+    last_send: Option<Duration>,
+    next_send: Option<Duration>,
 }
 
-impl Questions {
+impl QuestionBatches {
     pub(super) fn add(&mut self, now: Duration, to: SocketAddrV4, question: FlowQuestion) {
-        let soonest = self.last_round.map_or(now, |last| now.max(last + ROUND));
-        self.next_round.get_or_insert(soonest);
+        let soonest = self.last_send.map_or(now, |last| now.max(last + BATCH_INTERVAL));
+        self.next_send.get_or_insert(soonest);
         self.by_agent.entry(to).or_default().push(question);
     }
 
-    pub(super) fn next_round(&self) -> Option<Duration> {
-        self.next_round
+    pub(super) fn next_send(&self) -> Option<Duration> {
+        self.next_send
     }
 
     pub(super) fn take_due(&mut self, now: Duration) -> BTreeMap<SocketAddrV4, Vec<FlowQuestion>> {
-        if self.next_round.is_none_or(|next| now < next) {
+        if self.next_send.is_none_or(|next| now < next) {
             return BTreeMap::new();
         }
-        self.next_round = None;
-        self.last_round = Some(now);
+        self.next_send = None;
+        self.last_send = Some(now);
         std::mem::take(&mut self.by_agent)
     }
 }
--- a/crates/carried/src/balancer/refusals.rs
+++ b/crates/carried/src/balancer/refusals.rs
@@ -29,7 +29,7 @@
         now: Duration,
         segment: &Segment,
         refusal: Refusal,
-        opening: Option<&Opening>,
+        pending: Option<&Opening>,
     ) {
         match refusal {
             Refusal::NoRoute => self.counters.openings_refused_no_route += 1,
@@ -39,9 +39,9 @@
         }
         log::warn!(
             flow = flow_name(&segment.flow()).as_str(), reason = refusal.name(),
-            age_ms = opening.map_or(0, |opening| opening.age(now).as_millis() as u64),
-            service = opening.map_or("", |opening| opening.service.as_str()),
-            asked = opening.map(|opening| self.describe_asked(now, opening)).unwrap_or_default().as_str(),
+            age_ms = pending.map_or(0, |pending| pending.age(now).as_millis() as u64),
+            service = pending.map_or("", |pending| pending.service.as_str()),
+            asked = pending.map(|pending| self.describe_asked(now, pending)).unwrap_or_default().as_str(),
             configuration:% = self.standing.configuration.version; "opening_refused"
         );
         let datagram = self.format.reset(segment);
@@ -49,18 +49,18 @@
     }
 
     /// Leaves a flow to the copies of its opening packet.
-    pub(super) fn give_up(&mut self, now: Duration, opening: &Opening, refusal: Refusal) {
+    pub(super) fn give_up(&mut self, now: Duration, pending: &Opening, refusal: Refusal) {
         self.counters.openings_left_to_copies += 1;
         log::warn!(
-            flow = flow_name(&opening.flow()).as_str(), reason = refusal.name(),
-            age_ms = opening.age(now).as_millis() as u64,
-            asked = self.describe_asked(now, opening).as_str(),
+            flow = flow_name(&pending.flow()).as_str(), reason = refusal.name(),
+            age_ms = pending.age(now).as_millis() as u64,
+            asked = self.describe_asked(now, pending).as_str(),
             configuration:% = self.standing.configuration.version; "opening_left_to_copies"
         );
     }
 
     /// The agents that an opening asked, with what each said and what was known of it.
-    pub(super) fn describe_asked(&self, now: Duration, opening: &Opening) -> String {
+    pub(super) fn describe_asked(&self, now: Duration, pending: &Opening) -> String {
         let describe = |asked: &Asked| {
             let answer = match asked.answer {
                 Answer::Pending => "pending",
@@ -74,6 +74,6 @@
             let age = age.as_millis();
             format!("{}:{answer}:{waiting}/{capacity}:{age}ms", asked.agent.ip())
         };
-        opening.asked.iter().map(describe).collect::<Vec<_>>().join(",")
+        pending.asked.iter().map(describe).collect::<Vec<_>>().join(",")
     }
 }
--- a/crates/carried/src/balancer/lateness.rs
+++ b/crates/carried/src/balancer/scheduling_delay.rs
@@ -10,43 +10,43 @@
 /// Half of a lateness is forgotten in this time: a few turns of a process that is short of processor.
 const HALF_LIFE: Duration = Duration::from_millis(200);
 /// Timers may be as late in calm; a scheduler's tick.
-const CALM: Duration = Duration::from_millis(5);
+const TOLERANCE: Duration = Duration::from_millis(5);
 /// Waits grow by the time of a late turn twice: the one that reads the answer may be as late.
-const TURNS: u32 = 2;
+const DELAY_FACTOR: u32 = 2;
 /// No wait grows by more: beyond that callers have gone.
-const MOST_PATIENCE: Duration = Duration::from_millis(400);
+const MAX_EXTENSION: Duration = Duration::from_millis(400);
 
 /// The lateness of the last turns.
 #[derive(Debug, Default)]
-pub(super) struct Lateness {
+pub(super) struct SchedulingDelay {
     worst: Duration,
     noted_at: Duration,
 }
 
-impl Lateness {
+impl SchedulingDelay {
     /// A timer was due at `due` and is served at `now`.
     pub(super) fn note(&mut self, now: Duration, due: Duration) {
         let late = now.saturating_sub(due);
-        if late >= self.get(now) {
+        if late >= self.current(now) {
             self.worst = late;
             self.noted_at = now;
         }
     }
 
     /// How late the process has been lately; zero in calm.
-    pub(super) fn get(&self, now: Duration) -> Duration {
+    pub(super) fn current(&self, now: Duration) -> Duration {
         let halves = now.saturating_sub(self.noted_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         let worst = self.worst.mul_f64(0.5_f64.powf(halves));
-        if worst > CALM { worst } else { Duration::ZERO }
+        if worst > TOLERANCE { worst } else { Duration::ZERO }
     }
 
     /// Whether the process is too late to hold silence against anybody.
-    pub(super) fn is_late(&self, now: Duration) -> bool {
-        !self.get(now).is_zero()
+    pub(super) fn is_delayed(&self, now: Duration) -> bool {
+        !self.current(now).is_zero()
     }
 
     /// A wait for an answer, as long as it takes at this lateness.
-    pub(super) fn stretch(&self, now: Duration, wait: Duration) -> Duration {
-        wait + (self.get(now) * TURNS).min(MOST_PATIENCE)
+    pub(super) fn extend_timeout(&self, now: Duration, wait: Duration) -> Duration {
+        wait + (self.current(now) * DELAY_FACTOR).min(MAX_EXTENSION)
     }
 }
--- a/crates/carried/src/balancer/store_watch.rs
+++ b/crates/carried/src/balancer/store_watch.rs
@@ -16,14 +16,14 @@
 use super::*;
 
 /// Balancers of one zone that wait at the store, at least: one that is cut off costs nothing.
-const LEAST_IN_ZONE: usize = 2;
+const MIN_WATCHERS_PER_ZONE: usize = 2;
 /// Balancers that wait in the whole system, at least, where there are so many. With a third of all
 /// nodes refused by the store, all of six are with 0.14 %; all of ten in five zones with 0.002 %.
-const LEAST_IN_ALL: usize = 6;
+const MIN_WATCHERS: usize = 6;
 /// After a start nobody ranks before it has read who there is, and the others had time to say so: a
 /// thousand balancers that know nobody would all wait at the store. The first configuration is read
 /// meanwhile.
-const FIRST_REVIEW: Duration = Duration::from_millis(1_000);
+const FIRST_REVIEW_DELAY: Duration = Duration::from_millis(1_000);
 /// Time between two looks at who waits: far below the time in which silence is noticed.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Without a confirmation for this share of the bound for configurations a balancer reads for itself,
@@ -35,14 +35,14 @@
 /// its word to reach the others.
 const TURNS_SHARE: f64 = 1.0 / 3.0;
 /// While the store answers nobody, all together read it so often within the bound.
-const READINGS_IN_VAIN: f64 = 60.0;
+const MAX_FAILED_READS: f64 = 60.0;
 /// First rest of a balancer that the store has not answered; it doubles each time ...
-const FIRST_REST: Duration = Duration::from_millis(100);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 /// ... up to so much for each balancer that waits: together they try the store a few times a second,
 /// and its return is noticed within a second, ...
-const REST_EACH: Duration = Duration::from_millis(400);
+const BACKOFF_PER_WATCHER: Duration = Duration::from_millis(400);
 /// ... and never longer than this.
-const LONGEST_REST: Duration = Duration::from_secs(6);
+const MAX_BACKOFF: Duration = Duration::from_secs(6);
 
 /// This balancer's part in following the store.
 #[derive(Debug)]
@@ -57,14 +57,14 @@
     watchers: usize,
     balancers: usize,
     next_review: Duration,
-    last_reading: Option<Duration>,
-    rests_until: Duration,
+    last_read: Option<Duration>,
+    backoff_until: Duration,
     /// Failures in a row.
     failures: u32,
     /// Returns of the store that were known when it ceased to answer.
-    lost_at: Option<u32>,
+    returns_at_loss: Option<u32>,
     /// A line has told that an accepted change may be late here.
-    is_told_late: bool,
+    is_logged_late: bool,
 }
 
 impl StoreWatch {
@@ -77,11 +77,11 @@
             watchers: 0,
             balancers: 0,
             next_review: Duration::ZERO,
-            last_reading: None,
-            rests_until: Duration::ZERO,
+            last_read: None,
+            backoff_until: Duration::ZERO,
             failures: 0,
-            lost_at: None,
-            is_told_late: false,
+            returns_at_loss: None,
+            is_logged_late: false,
         }
     }
 
@@ -91,10 +91,11 @@
     }
 
     fn rest(&mut self, now: Duration, jitter: f64) {
-        let longest = (REST_EACH * self.watchers as u32).clamp(FIRST_REST, LONGEST_REST);
-        let rest = (FIRST_REST * (1 << self.failures.min(10))).min(longest);
+        let longest =
+            (BACKOFF_PER_WATCHER * self.watchers as u32).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
+        let rest = (INITIAL_BACKOFF * (1 << self.failures.min(10))).min(longest);
         self.failures += 1;
-        self.rests_until = now + rest.mul_f64(jitter);
+        self.backoff_until = now + rest.mul_f64(jitter);
     }
 }
 
@@ -103,7 +104,7 @@
     pub fn watches_store(&self, now: Duration) -> bool {
         let watch = &self.store_watch;
         let is_chosen = watch.is_chosen || !self.policies.has(Policy::FewWatchers);
-        is_chosen && now >= watch.rests_until
+        is_chosen && now >= watch.backoff_until
     }
 
     /// How often the shared store has come back after an absence, as far as is known.
@@ -113,41 +114,41 @@
 
     /// Learns whether the shared store answers this balancer: all that it had is known by now.
     pub fn note_store(&mut self, now: Duration, answers: bool) {
-        self.note_errand(now, answers);
+        self.note_store_answer(now, answers);
         if !answers {
             let jitter = self.random.random_range(0.75..1.25);
             self.store_watch.rest(now, jitter);
             let returns = self.standing.store.returns();
-            self.store_watch.lost_at.get_or_insert(returns);
+            self.store_watch.returns_at_loss.get_or_insert(returns);
             return;
         }
         self.standing.store.confirm(now);
         self.store_watch.failures = 0;
-        self.store_watch.rests_until = Duration::ZERO;
-        let lost_at = self.store_watch.lost_at.take();
-        if lost_at.is_some_and(|known| self.standing.store.note_return(known)) {
+        self.store_watch.backoff_until = Duration::ZERO;
+        let returns_at_loss = self.store_watch.returns_at_loss.take();
+        if returns_at_loss.is_some_and(|known| self.standing.store.note_return(known)) {
             self.standing.membership.hurry(now);
         }
     }
 
     /// Time since every accepted configuration was known here.
-    pub(super) fn unconfirmed(&self, now: Duration) -> Duration {
+    pub(super) fn unconfirmed_for(&self, now: Duration) -> Duration {
         now.saturating_sub(self.standing.store.confirmed_at())
     }
 
     /// When [`CarriedBalancer::follow_store`] has something to do next.
-    pub(super) fn next_store_step(&self) -> Duration {
+    pub(super) fn next_store_action(&self) -> Duration {
         let review = self.next_review();
-        self.next_reading().map_or(review, |reading| reading.min(review))
+        self.next_read().map_or(review, |reading| reading.min(review))
     }
 
     fn next_review(&self) -> Duration {
-        let first = self.acquaintance.enough_at().max(FIRST_REVIEW);
+        let first = self.absence_evidence.members_known_at().max(FIRST_REVIEW_DELAY);
         self.store_watch.next_review.max(first)
     }
 
     /// When this balancer reads the store for itself, unless it hears of a confirmation before.
-    fn next_reading(&self) -> Option<Duration> {
+    fn next_read(&self) -> Option<Duration> {
         let watch = &self.store_watch;
         let balancers = watch.balancers;
         // Before the first review it has no place among the others.
@@ -159,8 +160,8 @@
         let turn = watch.bound.mul_f64(TURNS_SHARE / balancers as f64).min(word_takes);
         let stale_after = watch.bound.mul_f64(STALE_SHARE) + turn * watch.rank as u32;
         let confirmed_at = self.standing.store.confirmed_at();
-        let pause = watch.bound.mul_f64((balancers as f64 / READINGS_IN_VAIN).max(1.0));
-        let unanswered = watch.last_reading.filter(|last| *last > confirmed_at);
+        let pause = watch.bound.mul_f64((balancers as f64 / MAX_FAILED_READS).max(1.0));
+        let unanswered = watch.last_read.filter(|last| *last > confirmed_at);
         Some(unanswered.map_or(confirmed_at + stale_after, |last| last + pause))
     }
 
@@ -170,26 +171,26 @@
             self.review_watchers(now);
         }
         self.audit_when_due(now, self.store_watch.is_chosen);
-        self.tell_whether_late(now);
-        if self.next_reading().is_some_and(|due| due <= now) {
-            self.store_watch.last_reading = Some(now);
-            self.note_reading(now);
+        self.log_staleness(now);
+        if self.next_read().is_some_and(|due| due <= now) {
+            self.store_watch.last_read = Some(now);
+            self.note_read_started(now);
             self.counters.store_readings += 1;
-            let unconfirmed_ms = self.unconfirmed(now).as_millis() as u64;
+            let unconfirmed_ms = self.unconfirmed_for(now).as_millis() as u64;
             log::info!(unconfirmed_ms; "store_read_for_itself");
             self.outputs.push_back(Output::ReadStore);
         }
     }
 
     /// A line when nobody has confirmed for the whole bound, and one when somebody has again.
-    fn tell_whether_late(&mut self, now: Duration) {
-        let unconfirmed = self.unconfirmed(now);
-        let is_late = unconfirmed > self.store_watch.bound;
-        if is_late == std::mem::replace(&mut self.store_watch.is_told_late, is_late) {
+    fn log_staleness(&mut self, now: Duration) {
+        let unconfirmed_for = self.unconfirmed_for(now);
+        let is_late = unconfirmed_for > self.store_watch.bound;
+        if is_late == std::mem::replace(&mut self.store_watch.is_logged_late, is_late) {
             return;
         }
         let StoreWatch { is_chosen, balancers, failures, .. } = self.store_watch;
-        let unconfirmed_ms = unconfirmed.as_millis() as u64;
+        let unconfirmed_ms = unconfirmed_for.as_millis() as u64;
         match is_late {
             true => log::warn!(unconfirmed_ms, is_chosen, balancers, failures; "store_unconfirmed"),
             false => log::info!(unconfirmed_ms; "store_confirmed"),
@@ -199,7 +200,7 @@
     fn review_watchers(&mut self, now: Duration) {
         let places = self.standing.membership.places(now);
         let zones = (places.balancers / places.in_zone.max(1)).max(1);
-        let in_zone = LEAST_IN_ZONE.max(LEAST_IN_ALL.div_ceil(zones));
+        let in_zone = MIN_WATCHERS_PER_ZONE.max(MIN_WATCHERS.div_ceil(zones));
         let is_chosen = places.rank_in_zone < in_zone;
         let watch = &mut self.store_watch;
         if is_chosen != watch.is_chosen {
--- a/crates/carried/src/balancer/knowledge.rs
+++ b/crates/carried/src/balancer/system_state.rs
@@ -25,7 +25,7 @@
 
     /// Takes the whole list of nodes that the shared store holds.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
-        self.acquaintance.note_list();
+        self.absence_evidence.note_member_list();
         self.standing.learn(now, members);
     }
 
@@ -38,14 +38,14 @@
                 return false;
             }
             Adoption::Confirmed => {
-                self.fence.lift(now);
+                self.admission_pause.end(now);
                 return false;
             }
             Adoption::Changed => {}
         }
         self.routes.replace(&self.standing.configuration);
         self.pool.evacuate(&self.standing.evacuated());
-        self.fence.lift(now);
+        self.admission_pause.end(now);
         self.counters.configurations_adopted += 1;
         self.unrouted.note_routes(now);
         self.standing.membership.hurry(now);
--- a/crates/carried/src/balancer/unrouted.rs
+++ b/crates/carried/src/balancer/unrouted.rs
@@ -11,29 +11,29 @@
 use std::time::Duration;
 
 /// Flows kept; of more, the oldest are left to their copies.
-const MOST_KEPT: usize = 4_096;
+const MAX_KEPT: usize = 4_096;
 
 /// Flows are offered a few at a time once a configuration is here: 180 a balancer, offered together by
 /// 27, kept small agents from answering anybody for longer than balancers wait.
-const STEP: Duration = Duration::from_millis(5);
-const FLOWS_A_STEP: u32 = 8;
+const BATCH_INTERVAL: Duration = Duration::from_millis(5);
+const FLOWS_PER_BATCH: u32 = 8;
 /// Agents are heard of so long after the first configuration: the list of nodes comes beside it, and
 /// greetings take two ways.
-const YOUNG: Duration = Duration::from_millis(500);
+const DISCOVERY_PERIOD: Duration = Duration::from_millis(500);
 
 /// The flows, in the order in which they came.
 #[derive(Debug, Default)]
-pub(super) struct Unrouted {
+pub(super) struct UnroutedFlows {
     kept: HashMap<FlowKey, Opened>,
     order: VecDeque<(Duration, FlowKey)>,
     /// When the first configuration came.
     routed_at: Option<Duration>,
     /// Flows offered since the last step.
     taken: u32,
-    next_step: Duration,
+    next_batch_at: Duration,
 }
 
-impl Unrouted {
+impl UnroutedFlows {
     /// Keeps an opening packet, in place of an earlier copy of it.
     pub(super) fn keep(&mut self, opened: Opened) {
         let flow = opened.segment.flow();
@@ -53,7 +53,7 @@
     fn forget(&mut self, now: Duration) {
         while let Some((since, flow)) = self.order.front() {
             let is_over = now.saturating_sub(*since) >= TRY_LASTS;
-            if !is_over && self.order.len() <= MOST_KEPT {
+            if !is_over && self.order.len() <= MAX_KEPT {
                 return;
             }
             if self.kept.get(flow).is_some_and(|kept| kept.started == *since) {
@@ -69,14 +69,14 @@
     }
 
     /// Whether the first configuration came only just now.
-    pub(super) fn is_young(&self, now: Duration) -> bool {
-        self.routed_at.is_some_and(|at| now.saturating_sub(at) < YOUNG)
+    pub(super) fn is_discovering(&self, now: Duration) -> bool {
+        self.routed_at.is_some_and(|at| now.saturating_sub(at) < DISCOVERY_PERIOD)
     }
 
     /// When the next flows are to be offered.
     pub(super) fn next_due(&self) -> Option<Duration> {
         let has_any = self.routed_at.is_some() && !self.order.is_empty();
-        has_any.then_some(self.next_step)
+        has_any.then_some(self.next_batch_at)
     }
 
     /// Takes a flow whose caller still waits, the oldest first, if it is time.
@@ -86,9 +86,9 @@
         }
         self.forget(now);
         self.taken += 1;
-        if self.taken >= FLOWS_A_STEP {
+        if self.taken >= FLOWS_PER_BATCH {
             self.taken = 0;
-            self.next_step = now + STEP;
+            self.next_batch_at = now + BATCH_INTERVAL;
         }
         while let Some((_, flow)) = self.order.pop_front() {
             // Its port may be used for another flow once its try is over.
