--- a/crates/carried/src/balancer/admission_pause.rs
+++ b/crates/carried/src/balancer/admission_pause.rs
@@ -1,23 +1,25 @@
-//! A balancer whose process stood still knows an old configuration and old members, and its socket
-//! holds opening packets that their callers have long given up. It takes no new flow until a peer
-//! has said that it is not behind, or a short time is over. Packets of open flows go on: agents
-//! decide about those.
+//! Pauses the admission of new flows after a stall of the process.
+//!
+//! A balancer whose process did not run for a while may have an outdated configuration and member
+//! list, and its socket buffers hold SYNs whose callers have long given up. It admits no new flow
+//! until a peer reports a configuration version that is no newer than its own, or a short time has
+//! passed. Packets of open flows are still handled, since agents decide about those.
 
 use super::*;
 
-/// Longest time without new flows after a standstill.
+/// Maximum length of the pause.
 const MAX_PAUSE: Duration = Duration::from_millis(150);
-/// What comes earlier waited in a socket all the while: words of peers that are old themselves, and
-/// opening packets that would take slots for nobody.
+/// Minimum length of the pause. Datagrams handled earlier had waited in a socket buffer during the
+/// stall: outdated reports of peers, and SYNs whose callers have gone and that would occupy slots.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
-/// Peers that are asked for their word at once.
+/// Maximum number of peers that are asked for a heartbeat when the process resumes.
 const MAX_PEERS_ASKED: usize = 8;
 
-/// Until when new flows are not taken.
+/// Whether and until when new flows are not admitted.
 #[derive(Debug, Default)]
 pub(super) struct AdmissionPause {
     until: Option<Duration>,
-    /// No word before this counts.
+    /// Nothing ends the pause before this time.
     earliest_end: Duration,
 }
 
@@ -39,7 +41,8 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// The process has stood still for longer than any peer waits.
+    /// Handles the end of a stall, in which the process did not run for longer than peers wait for
+    /// an answer.
     pub fn resume(&mut self, now: Duration) {
         if self.policies.has(Policy::Fence) {
             self.admission_pause.start(now);
@@ -55,7 +58,8 @@
         }
     }
 
-    /// A peer's word: when it is not ahead, nothing was missed.
+    /// Ends the pause if a peer's configuration is not newer than the one in force here: then
+    /// no change was missed during the stall.
     pub(super) fn note_peer_version(&mut self, now: Duration, configuration: Version) {
         if self.standing.configuration.version.covers(&configuration) {
             self.admission_pause.end(now);
--- a/crates/carried/src/balancer/audit.rs
+++ b/crates/carried/src/balancer/audit.rs
@@ -1,65 +1,71 @@
-//! Whether the shared store's list of nodes names those that live.
+//! Audits the shared store's list of nodes against the nodes that are alive.
 //!
-//! Entries stand without a lease: a renewal of each would grow with nodes and hours, 64 calls a second at
-//! 3,860 nodes, and all at once at the store's return. The balancers that wait at the store compare its
-//! list with whom they hear instead. A node whose entry is missing is told and writes it again; the entry
-//! of a node that nobody has heard for long is removed.
+//! Entries in the store have no lease: renewing a lease for each would cost 64 calls a second at
+//! 3,860 nodes, and all renewals would come at once when the store returns from an outage. Instead,
+//! the balancers that watch the store compare its list with the nodes whose heartbeats they
+//! receive. A live node whose entry is missing is notified and writes the entry again; the entry of
+//! a node that has been silent for long is removed.
 //!
 //! Invariants:
-//! - An entry is removed only after its node was silent here for [`DEAD_TIMEOUT`], while this process ran, or
-//!   has said good-bye and was silent for four intervals.
-//! - A node that lives and whose entry is missing is told by every auditor that hears it, each time.
+//! - An entry is removed only after this process has run for [`DEAD_TIMEOUT`] without receiving
+//!   anything from its node, or after the node's departure notice and four heartbeat intervals of
+//!   silence.
+//! - A live node whose entry is missing is notified at each audit by every auditor that receives
+//!   its heartbeats.
 
 use super::*;
 use crate::membership::ALIVE_INTERVALS;
 use crate::rank::draw;
 
-/// Mean time between two audits of one auditor. What nobody needs to know sooner: an entry is read by
-/// nodes that start, which hear of others from peers as well.
+/// Mean time between two audits by one auditor. Corrections are not urgent: entries are read by
+/// nodes that start, and those learn of other nodes from peers as well.
 const AUDIT_INTERVAL: Duration = Duration::from_secs(60);
-/// An interval is this share of the mean at least, and as much longer at most.
+/// Shortest audit interval, as a share of the mean. The longest one exceeds the mean by as much as
+/// the shortest one falls below it.
 const MIN_INTERVAL_SHARE: f64 = 0.75;
-/// Audits after the store's return come within this time, not all at once.
+/// Time over which the auditors spread their audits after the store has returned from an outage.
 const RETURN_SPREAD: Duration = Duration::from_millis(300);
-/// A node that has only just come may be missing from a list that is seconds old. In the newest list it is
-/// not: a store that has gone back has lost the entries of just those that had come last.
+/// Minimum time since a node joined before its absence from a list that may be seconds old counts.
+/// Absence from the newest list counts at once: a store that was restored from an older copy has
+/// lost the entries of just the nodes that joined last.
 const SETTLING_TIME: Duration = Duration::from_secs(10);
-/// A node that was silent for so long is dead. Longer than freezes, cuts and stores' outages last, and
-/// shorter than peers remember it.
+/// Silence after which a node is taken to be dead: longer than process freezes, network partitions
+/// and store outages last, and shorter than peers remember the node.
 const DEAD_TIMEOUT: Duration = Duration::from_secs(540);
 
-/// An agent whose back end had ended when it spoke last, and which was silent since, has left its machine.
+/// Silence after which an agent that has reported the end of its back end is taken to have left.
 const DEPARTED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A node that the shared store's list names.
+/// A node in the shared store's list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedNode {
-    /// Where other nodes reach it.
+    /// Address at which other nodes reach it.
     pub address: SocketAddrV4,
-    /// What it does.
+    /// Role of the node.
     pub role: NodeRole,
 }
 
-/// The shared store's list, as one reading found it.
+/// The shared store's list of nodes, as returned by one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeList {
-    /// The nodes that it names.
+    /// The listed nodes.
     pub nodes: Vec<ListedNode>,
-    /// It names every node whose entry was acknowledged before; else it may be seconds old.
+    /// Whether the list includes every entry that was acknowledged before the read. Otherwise it
+    /// may be seconds old.
     pub is_newest: bool,
 }
 
-/// When the list is compared next.
+/// Schedule of the audits.
 #[derive(Debug, Default)]
 pub(super) struct Audit {
     next: Option<Duration>,
-    /// Returns of the store that were known at the last look.
+    /// Number of store outages known to have ended, at the last check.
     returns: u32,
-    /// The era of the store that was known then; 0 before any.
+    /// Era of the store at the last check; 0 while none is known.
     era: u64,
-    /// The next list must be the newest: the store has just come back.
+    /// Whether the next audit needs the newest list, because the store has just returned.
     is_urgent: bool,
-    /// Audits that a time was set for.
+    /// Number of audits scheduled so far.
     planned: u64,
 }
 
@@ -68,8 +74,8 @@
         self.next
     }
 
-    /// Whether the store has come back since the last look, or has gone back to an older copy: then
-    /// entries may be gone though nobody has noticed an absence.
+    /// Whether, since the last check, the store has returned from an outage or was restored from an
+    /// older copy: then entries may be lost even if nobody noticed an outage.
     fn note_returns(&mut self, returns: u32, era: u64) -> bool {
         let has_returned = std::mem::replace(&mut self.returns, returns) != returns;
         let before = std::mem::replace(&mut self.era, era);
@@ -78,7 +84,7 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// Asks for the list when it is time; only balancers that wait at the store do.
+    /// Requests the list when an audit is due. Only balancers that watch the store are auditors.
     pub(super) fn audit_when_due(&mut self, now: Duration, is_auditor: bool) {
         let has_returned = self.audit.note_returns(
             self.standing.store.returns(),
@@ -107,15 +113,16 @@
             .mul_f64(MIN_INTERVAL_SHARE + (2.0 - 2.0 * MIN_INTERVAL_SHARE) * self.jitter_fraction())
     }
 
-    /// A number from 0 to 1, another one each time: auditors do not ask at one moment.
+    /// A number between 0 and 1 that differs from call to call and between auditors, so that they
+    /// do not read the store at the same moment.
     fn jitter_fraction(&mut self) -> f64 {
         self.audit.planned += 1;
         let me = self.standing.membership.me().address;
         draw(&me, &me, self.audit.planned) as f64 / u64::MAX as f64
     }
 
-    /// Compares the store's list with who lives: tells nodes whose entries are missing, and names the
-    /// addresses whose entries are to be removed.
+    /// Compares the store's list with the live nodes: notifies live nodes whose entries are
+    /// missing, and returns the addresses whose entries are to be removed.
     pub fn audit_members(&mut self, now: Duration, list: &NodeList) -> Vec<SocketAddrV4> {
         let listed = &list.nodes;
         let members: Vec<_> = listed.iter().map(|node| (node.address, node.role)).collect();
@@ -125,12 +132,12 @@
         if !has_entry.contains(&me) {
             self.outputs.push_back(Output::WriteEntry);
         }
-        let patience = self.standing.membership.interval() * ALIVE_INTERVALS;
+        let alive_timeout = self.standing.membership.interval() * ALIVE_INTERVALS;
         let peers = self.standing.membership.peers();
         let is_missing = |address: &SocketAddrV4, peer: &Peer| {
-            let is_alive = peer.heard_at.is_some_and(|at| now.saturating_sub(at) <= patience);
-            let may_be_told = list.is_newest || peer.is_settled(now, SETTLING_TIME);
-            is_alive && may_be_told && !has_entry.contains(address)
+            let is_alive = peer.heard_at.is_some_and(|at| now.saturating_sub(at) <= alive_timeout);
+            let may_be_notified = list.is_newest || peer.is_settled(now, SETTLING_TIME);
+            is_alive && may_be_notified && !has_entry.contains(address)
         };
         let missing = peers.filter(|(address, peer)| is_missing(address, peer));
         let missing: Vec<SocketAddrV4> = missing.map(|(address, _)| *address).collect();
@@ -148,10 +155,10 @@
     }
 
     fn is_dead(&self, now: Duration, address: &SocketAddrV4) -> bool {
-        let last_word = self.standing.membership.last_word(address).unwrap_or(now);
-        let patience =
+        let last_heard = self.standing.membership.last_word(address).unwrap_or(now);
+        let departed_timeout =
             (self.standing.membership.interval() * ALIVE_INTERVALS).max(DEPARTED_TIMEOUT);
-        let is_over = if self.has_departed(address) { patience } else { DEAD_TIMEOUT };
-        now.saturating_sub(last_word) >= is_over
+        let timeout = if self.has_departed(address) { departed_timeout } else { DEAD_TIMEOUT };
+        now.saturating_sub(last_heard) >= timeout
     }
 }
--- a/crates/carried/src/balancer/delegated_reads.rs
+++ b/crates/carried/src/balancer/delegated_reads.rs
@@ -1,22 +1,27 @@
-//! What a balancer does while the shared store refuses it, or leaves its reading unanswered, and nobody else
-//! tells it of a confirmation: it asks agents, one at a time, to read the configuration there. The store may
-//! refuse some machines while it serves others.
+//! Delegated store reads.
+//!
+//! While the shared store refuses a balancer or does not answer its reads, and no peer reports a
+//! confirmation, the balancer asks agents, one at a time, to read the configuration from the store.
+//! The store may refuse some machines while it serves others.
 
 use super::*;
 
-/// A store that is away for less than this needs nobody else's help.
+/// Time without an answer from the store before the first agent is asked; shorter outages need no
+/// delegated read.
 const INITIAL_DELAY: Duration = Duration::from_millis(300);
-/// A balancer that has heard of a confirmation within this share of the bound for configurations asks
-/// nobody; the rest is for the time between two agents and their answer.
+/// Share of the configuration bound for which a confirmation counts as fresh and no agent is asked.
+/// The rest of the bound is left for the interval between two requests and for the answer.
 const FRESH_SHARE: f64 = 0.5;
-/// Balancers that hear of no confirmation at the same moment do not all ask at the same one.
+/// Maximum random delay, so that balancers whose confirmations go stale at the same moment do not
+/// all ask at once.
 const MAX_JITTER: Duration = Duration::from_millis(200);
-/// Time between two agents that are asked.
+/// Mean time between requests to two agents.
 const REQUEST_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When the next agent is asked; `None` while the store answers this balancer.
+/// Schedule of the delegated reads.
 #[derive(Debug, Default)]
 pub(super) struct DelegatedReads {
+    /// When the next agent is asked; `None` while the store answers this balancer.
     next: Option<Duration>,
 }
 
@@ -27,6 +32,7 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
+    /// Updates the schedule with whether the store has answered this balancer.
     pub(super) fn note_store_answer(&mut self, now: Duration, answers: bool) {
         if !self.policies.has(Policy::StoreErrands) {
             return;
@@ -38,14 +44,14 @@
         };
     }
 
-    /// A reading has begun: it may hang.
+    /// Schedules a delegated read in case this balancer's own read, which starts now, hangs.
     pub(super) fn note_read_started(&mut self, now: Duration) {
         if self.policies.has(Policy::StoreErrands) {
             self.delegated_reads.next.get_or_insert(now + INITIAL_DELAY);
         }
     }
 
-    /// Asks an agent when it is time.
+    /// Asks a random live agent to read the store, if a request is due.
     pub(super) fn request_delegated_read(&mut self, now: Duration) {
         if self.delegated_reads.next.is_none_or(|next| now < next) {
             return;
--- a/crates/carried/src/balancer/established.rs
+++ b/crates/carried/src/balancer/established.rs
@@ -1,4 +1,4 @@
-//! Packets of open flows.
+//! Packets of open flows: forwarded to the agent that owns the flow, or looked up if it is unknown.
 
 use super::*;
 
@@ -6,7 +6,8 @@
     pub(super) fn handle_established(&mut self, now: Duration, segment: &Segment, datagram: &[u8]) {
         let flow = segment.flow();
         if let Some(number) = self.pending_flows.number_of(&flow) {
-            // The caller goes on: some agent has placed the flow, though its answer is not here.
+            // The caller has sent data: some agent has placed the flow, though its answer has not
+            // arrived.
             let asked =
                 self.pending_flows.finish(number).map(|pending| self.describe_asked(now, &pending));
             self.counters.openings_overtaken += 1;
@@ -18,7 +19,7 @@
         let idle = self.idle_timeout();
         let finishes = segment.finishes || segment.resets;
         match self.flows.touch(now, idle, &flow, finishes) {
-            // What it held is over, as far as is known; whether it is, the search tells.
+            // Its flows have presumably ended; the lookup finds out whether this one has.
             Some(agent) if self.is_gone(now, &agent) || self.has_departed(&agent) => {
                 self.flows.remove(&flow, agent);
             }
@@ -44,7 +45,7 @@
         log::info!(flow = flow_name(&flow).as_str(), agent:% = from; "flow_not_held");
         self.flows.remove(&flow, from);
         match self.flows.agent(&flow) {
-            // Found meanwhile, while packets were still under way to the wrong agent.
+            // Found while packets were still in flight to the wrong agent.
             Some(agent) => self.forward(agent, datagram),
             None => self.handle_unknown_flow(now, &segment, datagram, Some(from)),
         }
--- a/crates/carried/src/balancer/flow_absence.rs
+++ b/crates/carried/src/balancer/flow_absence.rs
@@ -1,7 +1,9 @@
-//! Whether nobody holds a flow.
+//! Decides whether no agent owns a flow.
 //!
-//! Invariant: an agent counts as denying a flow only by its own word, after a good-bye and a question
-//! without an answer, or when it has answered nobody for longer than restarts, freezes and cuts last.
+//! Invariant: an agent is ruled out as the owner of a flow only by its own answer, by an unanswered
+//! question after its departure notice, or when it has answered nobody for longer than restarts,
+//! freezes and network partitions last. A restart or loss of power of the whole system, back ends
+//! included, ends all earlier flows as well.
 
 use super::lookup_order::MAX_ASKED;
 use super::*;
@@ -9,40 +11,46 @@
 use crate::message::{BackendCondition, FlowMemory};
 use crate::view::StartTime;
 
-/// An agent that has said nothing for so long has ended, whatever it held. Longer than planned
-/// restarts, freezes and cuts last: what a cut holder holds lives.
+/// Silence after which an agent is presumed gone, and its flows ended. It is longer than planned
+/// restarts, freezes and network partitions last: flows owned by a partitioned agent are still
+/// open.
 const GONE_TIMEOUT: Duration = Duration::from_secs(15);
-/// Heartbeats that such an agent missed at least.
+/// Minimum number of heartbeats that an agent that is presumed gone has missed.
 const MIN_GONE_INTERVALS: u32 = 4;
-/// A balancer that could not read the list of nodes has heard of all of them after so long.
+/// Time after its start in which a balancer that could not read the list of nodes has learned of
+/// all of them from peers.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
-/// Where everything restarts at once, back ends start no longer than this before this process:
-/// flows that opened in between may live at agents that were not heard since.
+/// Maximum time by which back ends start earlier than this process if the whole system restarts at
+/// once. Flows opened in between may be owned by agents that were not heard since.
 const RESTART_SPREAD: Duration = Duration::from_millis(800);
-/// A balancer that nothing cuts off hears an agent so soon after both have started.
+/// Maximum time after the start of both until a balancer that is not partitioned hears an agent.
 const MAX_PROMPT_DELAY: Duration = Duration::from_millis(200);
-/// Agents that must have restarted with their back ends before that is believed of all.
+/// Minimum number of agents that must have restarted with their back ends before a restart of the
+/// whole system is assumed.
 const MIN_RESTARTED: usize = 2;
-/// Agents that live have been heard so long after this process started, where all restarted.
+/// Time after the start of this process by which all live agents have been heard, if the whole
+/// system has restarted.
 const RESTART_GRACE: Duration = Duration::from_millis(300);
-/// Agents that must presume a loss of power before it is believed.
+/// Minimum number of agents that must presume a loss of power before it is assumed.
 const MIN_PRESUMED: usize = 3;
-/// Time between two looks at what agents presume, for each agent.
+/// Time between two checks for a loss of power, per known agent.
 const POWER_CHECK_PER_AGENT: Duration = Duration::from_micros(100);
-/// Processes that lost power together start within this time of each other.
+/// Maximum time between the starts of processes that have lost power together.
 const JOINT_START_WINDOW: Duration = Duration::from_secs(1);
 
-/// What this balancer must have seen before it may say that nobody holds a flow.
+/// What this balancer must have observed before it may report that no agent owns a flow.
 #[derive(Debug, Default)]
 pub(super) struct AbsenceEvidence {
-    /// It has read the list of nodes, which names every node that was entered before.
+    /// Whether it has read the list of nodes, which includes every node that joined before the
+    /// read.
     has_list: bool,
-    /// Silence counts from here: before, the process had not started or stood still.
+    /// Peers' silence counts only from here on: before, this process had not started or was
+    /// stalled.
     since: Duration,
-    /// About when the agents' processes started, where everything has lost power.
+    /// Approximate start time of the agents' processes, if the whole system has lost power.
     restarted_at: Option<StartTime>,
-    /// When that is looked at next.
-    next_look: Duration,
+    /// When a loss of power is checked for next.
+    next_check: Duration,
 }
 
 impl AbsenceEvidence {
@@ -54,22 +62,22 @@
         self.since = now;
     }
 
-    /// Whether an agent whose process started then lost power with everything, its back end too: no
-    /// flow of before lives there.
+    /// Whether an agent whose process started at `started_at` lost power with the whole system, and
+    /// its back end too: it owns no flow from before.
     pub(super) fn lost_power(&self, started_at: Option<StartTime>) -> bool {
         let with =
             |at: StartTime| started_at.is_some_and(|start| at.between(start) <= JOINT_START_WINDOW);
         self.restarted_at.is_some_and(with)
     }
 
-    /// From when on this balancer knows who there is, as far as it can.
+    /// From when on this balancer is taken to know all nodes.
     pub(super) fn members_known_at(&self) -> Duration {
         if self.has_list { Duration::ZERO } else { DISCOVERY_TIMEOUT }
     }
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// Whether every agent known has said that the flow does not live there, or may be unsure.
+    /// Whether every known agent is ruled out as the owner of a flow, or is unsure about it.
     pub(super) fn all_ruled_out_or_unsure(&self, now: Duration, lookup: &Lookup) -> bool {
         let is_ruled_out = |agent: &SocketAddrV4| match self.known_answer(lookup, agent) {
             Some(Said::Unsure | Said::Tried(_)) => true,
@@ -78,16 +86,18 @@
         self.known_agents().all(|agent| is_ruled_out(&agent))
     }
 
-    /// Looks, now and then, whether everything has lost power: the agents' processes have all started
-    /// together, and most say that their back ends seem to have started beside them.
+    /// Checks periodically whether the whole system has lost power: nearly all agents' processes
+    /// have started at the same time, and most agents report that their back ends seem to have
+    /// started along with them.
     ///
-    /// Either sign alone deceives: processes are killed together beside back ends that live, and one
-    /// agent in seven whose process was replaced hears a regular heartbeat as early.
+    /// Neither sign is sufficient alone: agents' processes may be killed together while their back
+    /// ends go on, and one in seven agents whose process was replaced receives a regular heartbeat
+    /// of its back end so early that the back end seems to have just started.
     pub(super) fn check_power_loss(&mut self, now: Duration) {
-        if now < self.absence_evidence.next_look {
+        if now < self.absence_evidence.next_check {
             return;
         }
-        self.absence_evidence.next_look = now + POWER_CHECK_PER_AGENT * self.pool.len() as u32;
+        self.absence_evidence.next_check = now + POWER_CHECK_PER_AGENT * self.pool.len() as u32;
         let mut starts: Vec<StartTime> =
             self.pool.iter().filter_map(|(_, view)| view.started_at()).collect();
         starts.sort_unstable();
@@ -109,6 +119,7 @@
         }
     }
 
+    /// Whether the caller of a lookup may be told that no agent owns its flow.
     pub(super) fn no_agent_owns(&self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let is_asked_enough = lookup.has_answer() && self.pool.len() <= MAX_ASKED;
@@ -119,8 +130,9 @@
             && self.known_agents().all(|agent| self.is_ruled_out(now, lookup, &agent))
     }
 
-    /// Whether an agent holds the flow no more than it has said: it has denied, it said good-bye and
-    /// does not answer, or it is gone.
+    /// Whether an agent is ruled out as the owner of a flow: it has answered so, it has sent a
+    /// departure notice and does not answer, it lost power and had no back end since, or it is
+    /// presumed gone.
     pub(super) fn is_ruled_out(
         &self,
         now: Duration,
@@ -138,13 +150,14 @@
         }
     }
 
-    /// An agent that lives has said what it knows of a flow in this time, and this process has read it.
+    /// Time in which a live agent answers a question and this process, if delayed, reads the
+    /// answer.
     pub(super) fn answer_timeout(&self, now: Duration) -> Duration {
         self.scheduling_delay.extend_timeout(now, WORD_PATIENCE)
     }
 
-    /// Whether an agent lost power with everything and had heard of no back end since, as it said
-    /// last: a machine that was to be taken away may be gone by now.
+    /// Whether an agent lost power with the whole system and, by its last report, had not heard
+    /// from a back end since: its machine may have been removed from service meanwhile.
     fn never_had_backend(&self, agent: &SocketAddrV4) -> bool {
         self.pool.view(agent).is_some_and(|view| {
             let is_unknown = view.report.condition == BackendCondition::Unknown;
@@ -152,24 +165,24 @@
         })
     }
 
-    /// Whether an agent's last word was that its back end has ended. That may be long ago: one that
-    /// answers holds what it says.
+    /// Whether an agent's last report was its departure notice, that its back end has ended. The
+    /// report may be old, so an agent that answers a question is believed instead.
     pub(super) fn has_departed(&self, agent: &SocketAddrV4) -> bool {
         self.pool.view(agent).is_some_and(AgentView::has_ended)
     }
 
-    /// Every agent that this balancer has heard of, be it by hearsay.
+    /// Every agent that this balancer knows of, directly or through other nodes.
     pub(super) fn known_agents(&self) -> impl Iterator<Item = SocketAddrV4> {
         let peers = self.standing.membership.peers();
         let agents = peers.filter(|(_, peer)| peer.role == NodeRole::Agent);
         agents.map(|(address, _)| *address)
     }
 
-    /// Whether an agent holds no flow any more: it has answered nobody for so long that it will not
-    /// come back.
+    /// Whether an agent is presumed gone and owns no flow any more: it has answered nobody for so
+    /// long that it will not return, or the whole system has restarted and it was not heard since.
     pub(super) fn is_gone(&self, now: Duration, agent: &SocketAddrV4) -> bool {
         let view = self.pool.view(agent);
-        // A process that runs late has not read yet what those that live have said.
+        // A delayed process may not have read yet what live agents have sent.
         let grace = self.scheduling_delay.extend_timeout(now, RESTART_GRACE);
         if view.is_none() && now >= grace && self.has_system_restarted(now) {
             return true;
@@ -177,18 +190,19 @@
         let since = self.absence_evidence.since;
         let asked_in_vain = self.pool.view(agent).and_then(|view| view.in_vain_since());
         let in_vain = asked_in_vain.map(|asked_at| now.saturating_sub(asked_at.max(since)));
-        let last_word = match self.pool.view(agent) {
+        let last_heard = match self.pool.view(agent) {
             Some(view) => view.heard_at(),
             None => self.standing.membership.last_word(agent).unwrap_or(now),
         };
-        let silence = now.saturating_sub(last_word.max(since));
+        let silence = now.saturating_sub(last_heard.max(since));
         let interval = self.standing.membership.interval();
         silence >= GONE_TIMEOUT.max(interval * MIN_GONE_INTERVALS)
             || in_vain.is_some_and(|in_vain| in_vain >= GONE_TIMEOUT)
     }
 
-    /// Whether the whole system, back ends included, started about when this process did: no flow
-    /// of before lives, and nodes that have not come back held none since.
+    /// Whether the whole system, back ends included, started at about the same time as this
+    /// process: then all earlier flows have ended, and nodes that have not returned own none opened
+    /// since.
     pub(super) fn has_system_restarted(&self, now: Duration) -> bool {
         let views = || self.pool.iter().map(|(_, view)| view).filter(|view| view.has_backend());
         let heard = views().count();
--- a/crates/carried/src/balancer/lookup_order.rs
+++ b/crates/carried/src/balancer/lookup_order.rs
@@ -1,4 +1,5 @@
-//! Which agents a search asks for its flow, or gives a packet on trial, and in which order.
+//! Selects and orders the agents that a lookup asks about its flow, and those that receive one of
+//! the flow's packets on trial.
 
 use super::*;
 use crate::lookup::{FIRST_BATCH, Lookup, Said};
@@ -6,13 +7,13 @@
 use crate::pool::SAMPLE;
 use crate::rank::Ranking;
 
-/// Agents are asked about one flow, at most; where there are more, nobody is told that its flow is
-/// over: the question would cost more than the wait.
+/// Maximum number of agents asked about one flow. In a system with more agents no caller is told
+/// that its flow has ended: asking them all would cost more than letting the caller wait.
 pub(super) const MAX_ASKED: usize = 512;
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// The agents to ask next: those of the services that the address stands or stood for, then
-    /// all others, since an address may have stood for a service that this process never knew.
+    /// The agents to ask next: first those of the services that the address is or was routed to,
+    /// then all others, since it may have been routed to a service that this process never knew.
     pub(super) fn next_batch(&self, now: Duration, number: u64) -> Vec<SocketAddrV4> {
         let Some(lookup) = self.lookups.get(number) else { return Vec::new() };
         let asked = lookup.all_said().count();
@@ -27,18 +28,19 @@
         self.first_unanswered(now, lookup, self.known_agents(), most)
     }
 
-    /// What an agent has said of a flow, or would say: one that has forgotten flows is unsure.
+    /// What an agent has answered about a flow, or would answer: one that may have lost flow
+    /// records is unsure.
     pub(super) fn known_answer(&self, lookup: &Lookup, agent: &SocketAddrV4) -> Option<Said> {
         lookup.said(agent).or_else(|| self.may_have_forgotten(agent).then_some(Said::Unsure))
     }
 
-    /// Whether an agent may hold flows that it does not know.
+    /// Whether an agent's back end may have flows that the agent has no record of.
     fn may_have_forgotten(&self, agent: &SocketAddrV4) -> bool {
         let Some(view) = self.pool.view(agent) else { return false };
         view.memory() != FlowMemory::Whole && !self.absence_evidence.lost_power(view.started_at())
     }
 
-    /// The first of some agents whose word is not known, as the flow's ranking and new flows go.
+    /// Up to `most` of some agents whose answer is not known, the likeliest owners first.
     fn first_unanswered(
         &self,
         now: Duration,
@@ -51,8 +53,9 @@
         ranked.into_iter().filter(|agent| !self.is_gone(now, agent)).take(most).collect()
     }
 
-    /// Agents that may have forgotten a flow and may be given its packets, the likeliest first: those
-    /// of the services that the address stands or stood for, then all others.
+    /// Agents that may have lost their record of a flow and may receive its packets, the likeliest
+    /// owners first: those of the services that the address is or was routed to, if any, else all
+    /// others.
     pub(super) fn unsure_agents(&self, lookup: &Lookup) -> Vec<SocketAddrV4> {
         let flow = lookup.segment.flow();
         let is_unsure = |agent: &SocketAddrV4| {
@@ -68,8 +71,8 @@
         self.sort_by_likelihood(&flow, self.known_agents().filter(is_unsure))
     }
 
-    /// Agents in the order in which they are likely to hold a flow: where the balancers of this zone
-    /// place it, then where all others do.
+    /// Sorts agents by how likely they own a flow: first those with which balancers of this zone
+    /// place it, then those with which all other balancers do.
     fn sort_by_likelihood(
         &self,
         flow: &FlowKey,
@@ -85,7 +88,7 @@
         ranked.into_iter().map(|(.., agent)| agent).collect()
     }
 
-    /// Whether what a flow's caller says may reach an agent's region.
+    /// Whether the flow's route allows its data to be sent to an agent's region.
     fn is_region_allowed(&self, flow: &FlowKey, agent: &SocketAddrV4) -> bool {
         let Some(route) = self.routes.route(&flow.service) else { return true };
         self.pool.view(agent).is_some_and(|view| view.is_in(&route.regions))
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -1,11 +1,13 @@
-//! Flows that this balancer does not remember: found, waited for, or told to be over.
+//! Lookups of flows that this balancer has no record of: the owning agent is found, the lookup goes
+//! on, or the caller is reset.
 //!
 //! Invariants:
-//! - A packet whose holder is not known is given to a back end only when no agent that could be
-//!   asked holds its flow, and then only beside agents that may have forgotten it.
-//! - A caller is told that its flow is over only when every agent known has said that the flow does
-//!   not live there, or has said good-bye and does not answer, or has answered nobody for very long. While any of
-//!   them may hold it, or while agents may be there that this balancer has not heard of, it waits.
+//! - A packet whose owner is not known is given to a back end only if no agent that could be asked
+//!   owns its flow, and then only to back ends of agents that may have lost their record of it.
+//! - A caller is reset only when every known agent has answered that it does not own the flow, or
+//!   has sent a departure notice and does not answer, or has answered nobody for very long. While
+//!   any of them may own the flow, or while there may be agents that this balancer does not know
+//!   yet, the caller waits.
 
 use super::*;
 use crate::lookup::{
@@ -15,25 +17,27 @@
 use crate::message::{FlowQuestion, FlowWord, MOST_FLOWS_ASKED, Word};
 use crate::view::StartTime;
 
-/// Most searches under way; packets of further flows are left to their callers' repetitions.
+/// Maximum number of lookups. Packets of further flows are dropped; their callers retransmit them.
 const MAX_LOOKUPS: usize = 4_096;
-/// A search that takes longer is told of, with who holds it up: the shortest aims are some 100 ms.
-const SLOW_LOOKUP: Duration = Duration::from_millis(300);
-/// Agents that a line names at most.
+/// Duration after which a lookup is logged as slow, with the agents that block its result. The
+/// shortest latency targets are about 100 ms.
+const SLOW_LOOKUP_THRESHOLD: Duration = Duration::from_millis(300);
+/// Maximum number of agents named in such a log line.
 const MAX_DESCRIBED: usize = 4;
-/// A caller that was told is remembered for so long.
+/// Time for which a caller that was reset is remembered.
 const RESET_TTL: Duration = Duration::from_secs(3);
-/// A caller that was told is told again when it repeats its packet after so long.
+/// Minimum time after which a caller that retransmits its packet is reset again.
 const RESET_REPEAT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// A packet of a flow that this balancer does not remember; `not_at` has sent it back.
+    /// Handles a packet of a flow without a known owner. `returned_by` is the agent that has
+    /// returned the packet, if any.
     pub(super) fn handle_unknown_flow(
         &mut self,
         now: Duration,
         segment: &Segment,
         datagram: &[u8],
-        not_at: Option<SocketAddrV4>,
+        returned_by: Option<SocketAddrV4>,
     ) {
         self.counters.packets_located += 1;
         self.check_power_loss(now);
@@ -43,7 +47,7 @@
             return;
         };
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        if let Some(agent) = not_at {
+        if let Some(agent) = returned_by {
             lookup.note(agent, Said::Absent(now));
         }
         if lookup.ended_at.is_some_and(|at| now.saturating_sub(at) >= RESET_REPEAT_INTERVAL) {
@@ -55,8 +59,8 @@
         self.advance_lookup(now, number);
     }
 
-    /// The search that a packet belongs to, which now holds the packet; `None` when there are too
-    /// many.
+    /// Adds a packet to the lookup of its flow, which is created if needed. Returns `None` if there
+    /// are too many lookups.
     fn find_or_start_lookup(
         &mut self,
         now: Duration,
@@ -90,7 +94,7 @@
         Some(number)
     }
 
-    /// Begins searches that wait, as many as may be under way.
+    /// Starts waiting lookups, as many as the limiter allows.
     pub(super) fn start_lookups(&mut self, now: Duration) {
         if !self.lookup_limiter.is_due(now) {
             return;
@@ -111,7 +115,7 @@
         self.lookup_limiter.schedule_next(now);
     }
 
-    /// Ends a search.
+    /// Removes a lookup.
     pub(super) fn finish_lookup(&mut self, now: Duration, number: u64) -> Option<Lookup> {
         let lookup = self.lookups.finish(number)?;
         if let Some(began_at) = lookup.began_at {
@@ -120,7 +124,7 @@
         Some(lookup)
     }
 
-    /// Takes a search as far as it goes without another word from an agent.
+    /// Takes the next step of a lookup, if it does not wait for answers.
     fn advance_lookup(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get(number).filter(|lookup| lookup.began_at.is_some())
         else {
@@ -159,7 +163,7 @@
         self.lookups.wake_at(number, now + WORD_PATIENCE);
     }
 
-    /// Sends the questions that have gathered, if it is time.
+    /// Sends the batched questions, if a batch is due.
     pub(super) fn send_questions(&mut self, now: Duration) {
         for (to, questions) in self.question_batches.take_due(now) {
             for part in questions.chunks(MOST_FLOWS_ASKED) {
@@ -169,8 +173,9 @@
         }
     }
 
-    /// Gives a packet to back ends whose agents may have forgotten the flow, the likeliest first;
-    /// `false` when there are none, or none may be tried.
+    /// Sends a packet on trial to back ends whose agents may have lost their record of the flow,
+    /// the likeliest owners first. Returns `false` if there are none or no further trial is
+    /// allowed.
     fn try_unsure_agents(&mut self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let Some(datagram) = lookup.trial_packet(now).cloned() else { return false };
@@ -199,7 +204,7 @@
         true
     }
 
-    /// Tells the caller that its flow is over.
+    /// Resets the caller: no agent owns its flow.
     fn reset_caller(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         let segment = lookup.segment;
@@ -226,7 +231,8 @@
         self.lookups.wake_at(number, now + RESET_TTL);
     }
 
-    /// Who said what, and how long ago; those that denied as one.
+    /// Describes the agents' answers for the log: the number of denials and the age of the oldest
+    /// one, and each agent that is presumed gone.
     fn describe_answers(&self, now: Duration, lookup: &Lookup) -> String {
         let absent = lookup.all_said().filter_map(|(_, said)| match said {
             Said::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
@@ -241,7 +247,7 @@
         format!("absent:{denials}:{oldest}ms{}", others.collect::<String>())
     }
 
-    /// An agent holds a flow.
+    /// Handles an agent's answer that it owns a flow.
     pub(super) fn handle_held(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
         if !self.pool.note_alive(&from) {
             self.counters.answers_unexpected += 1;
@@ -259,7 +265,7 @@
         }
     }
 
-    /// An agent has said what it knows of flows.
+    /// Handles an agent's answers about flows.
     pub(super) fn handle_found(
         &mut self,
         now: Duration,
@@ -273,18 +279,19 @@
             match word {
                 Word::Held => self.handle_held(now, from, (*flow).into()),
                 Word::Absent => self.handle_not_owned(now, from, (*flow).into(), Said::Absent(now)),
-                // It would know the flow if it had been placed since everything lost power.
+                // The agent has a record of every flow placed since the loss of power, and flows
+                // from before it have ended with their back ends.
                 Word::Unsure if lost_power => {
                     self.handle_not_owned(now, from, (*flow).into(), Said::Absent(now));
                 }
                 Word::Unsure => self.handle_not_owned(now, from, (*flow).into(), Said::Unsure),
-                // It is asked again in a moment.
+                // It has not received its back end's first report yet and is asked again soon.
                 Word::Early => {}
             }
         }
     }
 
-    /// An agent does not know a flow.
+    /// Handles an agent's answer that it does not own a flow, or has no record of it.
     fn handle_not_owned(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey, said: Said) {
         let number = self.lookups.number_of(&flow);
         let lookup = number.and_then(|number| Some((number, self.lookups.get_mut(number)?)));
@@ -293,7 +300,7 @@
             self.counters.answers_unexpected += 1;
             return;
         };
-        // It has a packet on trial; what becomes of that is still to come.
+        // The agent was sent a packet on trial; the result is still to come.
         let is_tried = matches!(lookup.said(&from), Some(Said::Tried(_)));
         if !(is_tried && said == Said::Unsure) {
             lookup.note(from, said);
@@ -301,7 +308,7 @@
         self.advance_lookup(now, number);
     }
 
-    /// An agent has told the caller that its flow is over.
+    /// Handles an agent's report that it has told the caller that its flow has ended.
     pub(super) fn handle_ended(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
         if !self.pool.note_alive(&from) {
             self.counters.answers_unexpected += 1;
@@ -330,10 +337,10 @@
         self.advance_lookup(now, number);
     }
 
-    /// Tells once who holds up a search whose caller waits.
+    /// Logs a slow lookup whose caller waits for an answer, once, with the agents that block it.
     fn log_slow_lookup(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        let takes_long = now.saturating_sub(lookup.started) >= SLOW_LOOKUP;
+        let takes_long = now.saturating_sub(lookup.started) >= SLOW_LOOKUP_THRESHOLD;
         if !takes_long || lookup.was_reported || !lookup.demands_answer() {
             return;
         }
@@ -346,7 +353,8 @@
         );
     }
 
-    /// The first agents that have not denied a flow, with what is known of each.
+    /// Describes the first agents that may still own the flow, with the last answer of each and the
+    /// time since it was heard.
     fn describe_blocking(&self, now: Duration, lookup: &Lookup) -> String {
         let holding_up = self.known_agents().filter(|agent| !self.is_ruled_out(now, lookup, agent));
         let describe = |agent: SocketAddrV4| {
@@ -363,7 +371,7 @@
         holding_up.take(MAX_DESCRIBED).map(describe).collect::<Vec<_>>().join(",")
     }
 
-    /// Asks those again that have not settled the matter.
+    /// Repeats the question to agents whose answer is missing or left the ownership open.
     fn ask_again(&mut self, now: Duration, number: u64) {
         self.log_slow_lookup(now, number);
         let Some(lookup) = self.lookups.get_mut(number) else { return };
@@ -382,7 +390,7 @@
     }
 }
 
-/// The question whether the searched flow lives at an agent.
+/// The question whether an agent owns the flow of a lookup.
 fn question_for(lookup: &Lookup) -> FlowQuestion {
     let Segment { acknowledges, acknowledgement, .. } = lookup.segment;
     let acknowledged = acknowledges.then_some(acknowledgement);
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -1,10 +1,13 @@
-//! The balancer's core: from a caller's packet to the agents that get it.
+//! The balancer's core: a state machine without I/O that assigns callers' flows to agents and
+//! forwards callers' packets to them.
 //!
 //! Invariants:
-//! - A caller is reset only when nothing of its flow has run: every agent asked has declined, or has
-//!   stayed silent for longer than a caller needs to go on.
-//! - A packet of an open flow goes only to the agent that holds it, or on trial to agents that may
-//!   have forgotten it; no choice by hash or load is made for it.
+//! - The caller of a new flow is reset only when no back end has begun to serve the flow: every
+//!   agent that was offered it has declined, or has not answered for longer than the caller would
+//!   need to send its next packet if the flow had been opened.
+//! - A packet of an open flow is forwarded only to the agent that owns the flow, or on trial to
+//!   agents that may have lost their record of it; it is never sent to an agent chosen by hash or
+//!   load.
 //! - A configuration with a lower version never replaces one with a higher version.
 
 mod admission_pause;
@@ -62,24 +65,25 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An agent has so long to answer an offer before the next one is asked as well.
+/// Time after which an unanswered offer is also made to the next agent.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(30);
-/// Time between two looks for an agent while there is none to ask.
+/// Time between two attempts to find an agent for a pending flow while none is available.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
-/// Agents asked for a free slot, at most.
+/// Maximum number of agents that are asked for a free slot for one flow.
 const MAX_FREE_SLOT_OFFERS: usize = 6;
-/// Agents asked for a place in their queue, at most.
+/// Maximum number of agents that are asked for a place in their back end's queue for one flow.
 const MAX_QUEUE_OFFERS: usize = 4;
-/// The agent's word that a flow has waited in vain is here so long after.
+/// Additional time in which the agent's message that a flow has left its wait queue without a slot
+/// arrives here.
 const WAIT_QUEUE_GRACE: Duration = Duration::from_millis(40);
-/// Share of the aim for which a flow waits for an agent to ask.
+/// Share of the latency target for which a flow is retried while no agent can be offered it.
 const RETRY_SHARE: f64 = 0.2;
-/// Share of the aim within which an agent may still queue a request; the rest is for the ways and
-/// for requests that take longer than the mean.
+/// Share of the latency target within which an agent may still queue a request. The rest is left
+/// for the network and for requests that take longer than the mean.
 const QUEUE_SHARE: f64 = 0.5;
-/// The aim of routes that tell none.
+/// Latency target of routes that set no `aim_ms`.
 const DEFAULT_AIM: Duration = Duration::from_millis(500);
-/// Rest after which a flow is forgotten, until a configuration tells.
+/// Idle time after which a flow is forgotten, until a configuration sets it.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Settings of a balancer of carried flows.
@@ -87,15 +91,15 @@
 pub struct CarriedBalancerSettings {
     /// The balancer itself.
     pub node: Node,
-    /// Seed of the choices left to chance.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// A configuration that was accepted is in force everywhere after this time.
+    /// Maximum time from the acceptance of a configuration until it is in force on every node.
     pub configuration_bound: Duration,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub policies: Policies,
 }
 
-/// A balancer.
+/// The state of one balancer.
 pub struct CarriedBalancer<F = PlainFormat> {
     format: F,
     standing: Standing,
@@ -104,7 +108,7 @@
     policies: Policies,
     flows: FlowCache,
     pending_flows: Openings,
-    /// Flows that were asked for before any configuration was known.
+    /// New flows that arrived before any configuration was known.
     unrouted: UnroutedFlows,
     lookups: Pending<Lookup>,
     question_batches: QuestionBatches,
@@ -114,7 +118,7 @@
     audit: Audit,
     admission_pause: AdmissionPause,
     scheduling_delay: SchedulingDelay,
-    /// Callers' packets that are taken now may have waited for so long in a socket.
+    /// Longest time that the callers' packets handled now may have waited in a socket buffer.
     input_age: Duration,
     store_watch: StoreWatch,
     random: ChaCha8Rng,
@@ -125,7 +129,7 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// A balancer that has just started and knows nothing but its settings.
+    /// Creates a balancer that knows nothing but its settings.
     pub fn new(settings: CarriedBalancerSettings, format: F) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         CarriedBalancer {
@@ -155,12 +159,12 @@
         }
     }
 
-    /// The next thing to do.
+    /// Takes the next action that the driver of this core has to carry out.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The nodes known.
+    /// The known nodes.
     pub fn membership(&self) -> &Membership {
         &self.standing.membership
     }
@@ -170,13 +174,13 @@
         self.standing.configuration.version
     }
 
-    /// Whether callers' packets should come here.
+    /// Whether callers' packets should be routed to this balancer.
     pub fn is_ready(&self, now: Duration) -> bool {
         let interval = self.standing.membership.interval();
         !self.draining && !self.routes.is_empty() && self.pool.any_accepting(now, interval)
     }
 
-    /// Asks for no more packets; those that come are still carried.
+    /// Makes the balancer report that it is not ready; packets that still arrive are forwarded.
     pub fn start_draining(&mut self) {
         self.draining = true;
         log::info!(flows = self.flows.len(); "draining");
@@ -186,13 +190,13 @@
         self.standing.idle_timeout(DEFAULT_IDLE_TIMEOUT)
     }
 
-    /// Learns for how long datagrams of callers that come next may have waited in a socket, as far as
-    /// its reader knows.
-    pub fn note_input_age(&mut self, waited: Duration) {
-        self.input_age = waited;
+    /// Sets how long the callers' datagrams that are handled next may have waited in a socket
+    /// buffer, as estimated by the reader of the socket.
+    pub fn note_input_age(&mut self, age: Duration) {
+        self.input_age = age;
     }
 
-    /// Takes a datagram of a caller.
+    /// Handles a datagram from a caller.
     pub fn handle_caller(&mut self, now: Duration, datagram: &[u8]) {
         self.counters.packets_received += 1;
         match self.format.parse(datagram) {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// Takes a datagram of another node.
+    /// Handles a datagram from another node.
     pub fn handle_peer(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
         match Message::decode(datagram) {
             Some(Message::Placed { number, report }) => {
@@ -261,7 +265,7 @@
             self.pending_flows.next_wake_up(),
             self.lookups.next_wake_up(),
             self.question_batches.next_send(),
-            self.lookup_limiter.next_look(),
+            self.lookup_limiter.next_start(),
             self.unrouted.next_due(),
             self.standing.membership.next_due(),
             self.delegated_reads.next(),
@@ -272,8 +276,8 @@
         due.into_iter().flatten().min()
     }
 
-    /// Does what is due at `now`. What peers have said by then is to be taken before: an answer that
-    /// waits is not late, this process is.
+    /// Runs all timers that are due at `now`. The driver must first pass on the peers' datagrams
+    /// that have already arrived: an answer that still waits in a socket is not missing.
     pub fn handle_timeout(&mut self, now: Duration) {
         self.note_scheduling_delay(now);
         while let Some(number) = self.pending_flows.pop_due(now) {
@@ -297,7 +301,7 @@
         self.forget_agents();
     }
 
-    /// Learns how late the timer that is due is served.
+    /// Records how long after its due time the earliest timer is run.
     fn note_scheduling_delay(&mut self, now: Duration) {
         if !self.policies.has(Policy::OwnLateness) {
             return;
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Forgets agents that the membership has forgotten.
+    /// Removes agents that are no longer members.
     fn forget_agents(&mut self) {
         if self.pool.len() > self.standing.membership.len() {
             let membership = &self.standing.membership;
@@ -316,12 +320,12 @@
         }
     }
 
-    /// What was measured so far.
+    /// The latency histograms.
     pub fn histograms(&self) -> Vec<Histogram> {
         self.latency.histograms()
     }
 
-    /// What was counted so far, with the gauges of now.
+    /// The counters, with gauges as of `now`.
     pub fn counters(&self, now: Duration) -> CarriedBalancerCounters {
         CarriedBalancerCounters {
             configuration_version: self.standing.configuration.version.number,
--- a/crates/carried/src/balancer/pending_flows.rs
+++ b/crates/carried/src/balancer/pending_flows.rs
@@ -1,4 +1,9 @@
-//! New flows: offered to one agent after the other, placed, refused or left to their copies.
+//! Pending flows: new flows that are offered to one agent after the other until an agent places
+//! them, or they are refused, or dropped without a reset so that the caller's retransmitted SYN
+//! starts over.
+//!
+//! A flow is first offered for a free slot of a back end, then for a place in a back end's queue,
+//! and then for a place in an agent's wait queue, where it waits until the back end has room.
 
 use super::*;
 use crate::offer_budget::FREE_OFFERS;
@@ -10,8 +15,8 @@
             self.counters.openings_fenced += 1;
             return;
         }
-        // The caller has sent the next copy by now, or has given up and may use its port for another
-        // flow, which this packet would end.
+        // The caller has retransmitted its SYN by now, or has given up and may have reused its port
+        // for another flow, which a reset in answer to this packet would end.
         if !may_reset_copy(segment.acknowledgement, self.input_age) {
             self.counters.openings_stale += 1;
             return;
@@ -19,7 +24,7 @@
         let came_at = now.saturating_sub(self.input_age);
         let flow = segment.flow();
         if let Some(number) = self.lookups.number_of(&flow) {
-            // The caller uses its port again: what was searched for is over.
+            // The caller has reused its port: the flow that was looked up has ended.
             self.finish_lookup(now, number);
         }
         if let Some(number) = self.pending_flows.number_of(&flow) {
@@ -35,11 +40,11 @@
         let datagram = datagram.to_vec();
         let opened =
             Opened { segment: *segment, datagram, came_at, started: now, first_came: came_at };
-        self.open(now, opened);
+        self.open_flow(now, opened);
     }
 
-    /// Begins to look for a place for a new flow.
-    pub(super) fn open(&mut self, now: Duration, opened: Opened) {
+    /// Starts to offer a new flow to agents.
+    pub(super) fn open_flow(&mut self, now: Duration, opened: Opened) {
         let segment = opened.segment;
         let address = segment.flow().service;
         let Some(route) = self.routes.route(&address) else {
@@ -67,15 +72,15 @@
         self.advance_pending(now, number);
     }
 
-    /// Begins to look for places for flows that were asked for before any configuration was known.
+    /// Starts to offer flows that arrived before any configuration was known.
     pub(super) fn open_unrouted(&mut self, now: Duration) {
         while let Some(opened) = self.unrouted.pop(now) {
-            self.open(now, opened);
+            self.open_flow(now, opened);
         }
     }
 
-    /// Whether a repeated opening packet may go where the flow was placed: the agent seems to live
-    /// and the address still stands for its service.
+    /// Whether a retransmitted SYN may be sent to the agent with which the flow was placed: the
+    /// agent is not suspect, and the address is still routed to its service and region.
     pub(super) fn may_repeat_offer(
         &self,
         now: Duration,
@@ -90,7 +95,8 @@
         is_part && is_allowed && !view.is_suspect(now, self.standing.membership.interval())
     }
 
-    /// A caller repeats the opening packet of a flow that has been placed: its answer was lost.
+    /// Forwards a retransmitted SYN of a placed flow to its agent, since the reply to the caller
+    /// was lost.
     pub(super) fn repeat_offer(&mut self, agent: SocketAddrV4, flow: &FlowKey, datagram: &[u8]) {
         let Some(service) = self.pool.view(&agent).map(|view| view.report.service.clone()) else {
             return;
@@ -105,7 +111,7 @@
         self.outputs.push_back(Output::ToPeer { to: agent, message });
     }
 
-    /// Takes an opening as far as it goes without another word from an agent.
+    /// Makes the next offer of a pending flow, if no answer is outstanding.
     pub(super) fn advance_pending(&mut self, now: Duration, number: u64) {
         let interval = self.standing.membership.interval();
         let random = &mut self.random;
@@ -113,10 +119,10 @@
         if pending.is_pending() {
             return;
         }
-        // In overload nobody has a free slot: the flow goes to a queue at once, if it may.
+        // In overload no agent has a free slot: the flow is offered to a queue at once, if allowed.
         let is_overloaded = self.pool.is_budget_spent(now, &pending.service);
-        // The last offer that is free must not go to waste: an agent without a free slot takes the flow
-        // into its queue, which costs less than asking on.
+        // The last offer that costs no retry budget asks for a place in the queue: an agent without
+        // a free slot can then still take the flow, which is cheaper than further offers.
         let is_last_free = pending.offers + 1 >= FREE_OFFERS;
         loop {
             let is_late = pending.is_late(now) && self.pool.is_recovering(now, &pending.service);
@@ -124,7 +130,7 @@
             if pending.wants_line || (may_wait && (is_late || is_overloaded)) {
                 break;
             }
-            // A place in the queue is for those that still meet their aim.
+            // Only flows that can still meet their latency target may be queued.
             let may_queue = !is_late && self.policies.has(Policy::SecondRound);
             pending.wants_queue |= (is_overloaded || is_last_free) && may_queue;
             let most = if pending.wants_queue { MAX_QUEUE_OFFERS } else { MAX_FREE_SLOT_OFFERS };
@@ -153,7 +159,8 @@
         self.settle_unplaced(now, number);
     }
 
-    /// Everybody who seems able to take the flow was asked, and nobody has.
+    /// Decides about a pending flow that no suitable agent has accepted: offers it to suspect or
+    /// failing agents as a last resort, or to a wait queue, retries later, or gives up.
     pub(super) fn settle_unplaced(&mut self, now: Duration, number: u64) {
         let interval = self.standing.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
@@ -195,7 +202,8 @@
             (false, true) => Some(Refusal::Busy),
             (false, false) if is_evacuated => Some(Refusal::Unavailable),
             (false, false) if age < pending.aim.mul_f64(RETRY_SHARE) => None,
-            // Agents are being heard of: the list of nodes came with the first configuration.
+            // Agents are still being discovered: the list of nodes came with the first
+            // configuration.
             (false, false) if is_discovering && pending.patience(now).is_some() => None,
             (false, false) => Some(Refusal::Unavailable),
         };
@@ -203,7 +211,8 @@
             None => self.pending_flows.wake_at(number, now + RETRY_INTERVAL),
             Some(refusal) => {
                 let Some(pending) = self.pending_flows.finish(number) else { return };
-                // The answer, or the caller's next packet, may wait in a socket of this process.
+                // This process is delayed: an agent's answer or the caller's next packet may wait
+                // in its socket buffers.
                 let may_be_open = has_unanswered && self.scheduling_delay.is_delayed(now);
                 if may_be_open || !pending.may_reset(now) {
                     return self.give_up(now, &pending, refusal);
@@ -213,8 +222,8 @@
         }
     }
 
-    /// Offers a flow that nobody has room for to an agent where it may wait; `false` when there is
-    /// none, or too little time.
+    /// Offers a flow for which there is no room to the wait queue of an agent. Returns `false` if
+    /// there is no such agent or too little time left.
     fn offer_to_wait_queue(&mut self, now: Duration, number: u64) -> bool {
         if !self.policies.has(Policy::Line) {
             return false;
@@ -233,7 +242,8 @@
         let shortest =
             self.pool.shortest_line(now, interval, &pending.service, ranking, may_ask, noise);
         let Some(agent) = shortest else { return false };
-        // Each flow may wait in some line; that another one is shorter is worth an offer in calm only.
+        // Each flow may be offered to one wait queue; an offer to a second, shorter one must be
+        // covered by the retry budget.
         let is_paid = self.pool.take_offer(now, &pending.service, pending.offers);
         if !is_paid && pending.has_asked_any_line() {
             return false;
@@ -243,7 +253,7 @@
         true
     }
 
-    /// An agent has a flow wait until its back end has room.
+    /// Handles an agent's message that a flow is in its wait queue until its back end has room.
     pub(super) fn handle_queued(
         &mut self,
         now: Duration,
@@ -256,13 +266,13 @@
         let Some(asked) = pending.last_offer_to(from) else { return };
         asked.answer = Answer::Queued;
         self.counters.openings_queued += 1;
-        // The agent tells before; if it does not, the caller's try is over.
+        // The agent reports the outcome before this time; otherwise the caller's attempt is over.
         let patience = pending.patience(now).unwrap_or_default();
         self.pending_flows.wake_at(number, now + patience + WAIT_QUEUE_GRACE);
     }
 
-    /// A copy came of a flow that waits at an agent: while that agent seems to be gone, another one
-    /// is to take the flow.
+    /// Checks, when a retransmitted SYN arrives, the agent in whose wait queue the flow is: if that
+    /// agent is suspect, the flow is offered to another one.
     fn check_queued_agent(&mut self, now: Duration, number: u64) {
         let interval = self.standing.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
@@ -299,8 +309,8 @@
             datagram: pending.datagram.clone(),
         };
         self.outputs.push_back(Output::ToPeer { to: agent, message });
-        let patience = self.scheduling_delay.extend_timeout(now, OFFER_TIMEOUT);
-        self.pending_flows.wake_at(number, now + patience);
+        let timeout = self.scheduling_delay.extend_timeout(now, OFFER_TIMEOUT);
+        self.pending_flows.wake_at(number, now + timeout);
         self.pool.note_offer(&agent);
         self.counters.offers_made += 1;
     }
@@ -363,7 +373,7 @@
         let is_late = self.scheduling_delay.is_delayed(now);
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
         if pending.queued_at().is_some() {
-            // Its agent, or what it said, is lost; whether it has opened is not known here.
+            // The agent or its message was lost; it is not known whether the flow was placed.
             if let Some(pending) = self.pending_flows.finish(number) {
                 self.give_up(now, &pending, Refusal::Unanswered);
             }
--- a/crates/carried/src/balancer/question_batches.rs
+++ b/crates/carried/src/balancer/question_batches.rs
@@ -1,14 +1,14 @@
-//! Questions about flows, gathered by the agent that they go to.
+//! Batches the questions about flows that are sent to the same agent.
 
 use crate::message::FlowQuestion;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Time between two rounds of questions: those of many flows share their messages.
+/// Minimum time between two batches, so that questions about many flows share messages.
 const BATCH_INTERVAL: Duration = Duration::from_millis(4);
 
-/// Questions that wait for the next round, by the agent that they go to.
+/// Questions that wait for the next batch, by destination agent.
 #[derive(Debug, Default)]
 pub(super) struct QuestionBatches {
     by_agent: BTreeMap<SocketAddrV4, Vec<FlowQuestion>>,
--- a/crates/carried/src/balancer/refusals.rs
+++ b/crates/carried/src/balancer/refusals.rs
@@ -1,4 +1,5 @@
-//! New flows that find no place: refused, or left to the copies of their opening packets.
+//! New flows that cannot be placed: the caller is reset, or the flow is dropped without a reset so
+//! that a retransmitted SYN starts over.
 
 use super::*;
 use crate::opening::Opening;
@@ -48,7 +49,8 @@
         self.outputs.push_back(Output::ToCaller { host: *segment.source.ip(), datagram });
     }
 
-    /// Leaves a flow to the copies of its opening packet.
+    /// Drops a pending flow without a reset: it may have been placed, or the caller may have
+    /// retransmitted its SYN through another balancer.
     pub(super) fn give_up(&mut self, now: Duration, pending: &Opening, refusal: Refusal) {
         self.counters.openings_left_to_copies += 1;
         log::warn!(
@@ -59,7 +61,8 @@
         );
     }
 
-    /// The agents that an opening asked, with what each said and what was known of it.
+    /// Describes, for the log, the agents that were offered a flow, with the answer, last reported
+    /// load and age of that report of each.
     pub(super) fn describe_asked(&self, now: Duration, pending: &Opening) -> String {
         let describe = |asked: &Asked| {
             let answer = match asked.answer {
--- a/crates/carried/src/balancer/scheduling_delay.rs
+++ b/crates/carried/src/balancer/scheduling_delay.rs
@@ -1,22 +1,24 @@
-//! How late this process runs.
+//! Estimates this process's own scheduling delay: how late it runs its timers.
 //!
-//! A process that gets too little of its processor finds its timers overdue, and answers waiting that
-//! came long ago. Whoever it holds to be silent then is not (Lifeguard's local health, Dadgar et al.,
-//! 2018): its patience grows with its own lateness, and while it is late no silence counts against
-//! anybody.
+//! A process that gets too little processor time finds its timers overdue, and answers in its
+//! socket buffers that arrived long ago. Peers that then seem silent are not (cf. local health in
+//! Lifeguard, Dadgar et al., 2018). So timeouts for answers grow with the process's own delay, and
+//! while it is delayed no missing answer counts against a peer.
 
 use std::time::Duration;
 
-/// Half of a lateness is forgotten in this time: a few turns of a process that is short of processor.
+/// Half-life of a recorded delay: a few iterations of the event loop of a process that is short of
+/// processor time.
 const HALF_LIFE: Duration = Duration::from_millis(200);
-/// Timers may be as late in calm; a scheduler's tick.
+/// Delay that is normal for a process with enough processor time: one scheduler tick.
 const TOLERANCE: Duration = Duration::from_millis(5);
-/// Waits grow by the time of a late turn twice: the one that reads the answer may be as late.
+/// Timeouts grow by a multiple of the delay, since the loop iteration that reads the answer may be
+/// as late as the one that started the timeout.
 const DELAY_FACTOR: u32 = 2;
-/// No wait grows by more: beyond that callers have gone.
+/// Maximum extension of a timeout; by then callers have given up.
 const MAX_EXTENSION: Duration = Duration::from_millis(400);
 
-/// The lateness of the last turns.
+/// Largest recent delay, which decays exponentially.
 #[derive(Debug, Default)]
 pub(super) struct SchedulingDelay {
     worst: Duration,
@@ -24,29 +26,29 @@
 }
 
 impl SchedulingDelay {
-    /// A timer was due at `due` and is served at `now`.
+    /// Records that a timer was due at `due` and runs at `now`.
     pub(super) fn note(&mut self, now: Duration, due: Duration) {
-        let late = now.saturating_sub(due);
-        if late >= self.current(now) {
-            self.worst = late;
+        let delay = now.saturating_sub(due);
+        if delay >= self.current(now) {
+            self.worst = delay;
             self.noted_at = now;
         }
     }
 
-    /// How late the process has been lately; zero in calm.
+    /// The recent delay; zero if it is within the tolerance.
     pub(super) fn current(&self, now: Duration) -> Duration {
         let halves = now.saturating_sub(self.noted_at).as_secs_f64() / HALF_LIFE.as_secs_f64();
         let worst = self.worst.mul_f64(0.5_f64.powf(halves));
         if worst > TOLERANCE { worst } else { Duration::ZERO }
     }
 
-    /// Whether the process is too late to hold silence against anybody.
+    /// Whether the process is so delayed that a missing answer must not count against a peer.
     pub(super) fn is_delayed(&self, now: Duration) -> bool {
         !self.current(now).is_zero()
     }
 
-    /// A wait for an answer, as long as it takes at this lateness.
-    pub(super) fn extend_timeout(&self, now: Duration, wait: Duration) -> Duration {
-        wait + (self.current(now) * DELAY_FACTOR).min(MAX_EXTENSION)
+    /// A timeout for an answer, extended by the current delay.
+    pub(super) fn extend_timeout(&self, now: Duration, timeout: Duration) -> Duration {
+        timeout + (self.current(now) * DELAY_FACTOR).min(MAX_EXTENSION)
     }
 }
--- a/crates/carried/src/balancer/store_watch.rs
+++ b/crates/carried/src/balancer/store_watch.rs
@@ -1,74 +1,79 @@
-//! Who waits at the shared store for a newer configuration.
+//! Selects the balancers that watch the shared store for a newer configuration.
 //!
-//! A few balancers of each zone wait there, so that calls to the store grow with zones and changes
-//! and not with balancers. The others hear from them: by the version in heartbeats, and by how long
-//! ago the store has confirmed it. Nobody is elected: each balancer ranks those of its zone that it
-//! hears, itself included, by their links and addresses. Where they disagree for a while, one more or one less
-//! waits.
+//! A few balancers of each zone watch the store (long polling), so that the number of calls grows
+//! with zones and changes and not with balancers. The other balancers learn from their heartbeats,
+//! which carry the configuration's version and the age of the store's last confirmation of it.
+//! There is no election: each balancer ranks the balancers of its zone whose heartbeats it
+//! receives, and itself, by link speed and address. While their views differ, one balancer more or
+//! less watches.
 //!
 //! Invariants:
-//! - A balancer that has heard of no confirmation for a third of
-//!   the bound for configurations reads the store itself, when
-//!   its turn comes: it relies neither on anybody else to wait
-//!   there nor on its own wait, which may hang.
-//! - A balancer alone in its zone waits at the store.
+//! - A balancer that has received no confirmation for a third of the configuration bound reads the
+//!   store itself when its turn comes: it relies neither on other balancers' watches nor on its
+//!   own, which may hang.
+//! - A balancer that is alone in its zone watches the store.
 
 use super::*;
 
-/// Balancers of one zone that wait at the store, at least: one that is cut off costs nothing.
+/// Minimum number of watching balancers in a zone, so that losing one to a network partition does
+/// no harm.
 const MIN_WATCHERS_PER_ZONE: usize = 2;
-/// Balancers that wait in the whole system, at least, where there are so many. With a third of all
-/// nodes refused by the store, all of six are with 0.14 %; all of ten in five zones with 0.002 %.
+/// Minimum number of watching balancers in the whole system, if it has that many. If the store
+/// refuses a third of all nodes, it refuses all of six with a probability of 0.14 %, and all of ten
+/// (two in each of five zones) with 0.002 %.
 const MIN_WATCHERS: usize = 6;
-/// After a start nobody ranks before it has read who there is, and the others had time to say so: a
-/// thousand balancers that know nobody would all wait at the store. The first configuration is read
-/// meanwhile.
+/// Minimum time from the process's start to the first ranking. Before it has read the list of nodes
+/// and received their heartbeats, each of a thousand balancers would rank itself first and watch
+/// the store. The first configuration is read meanwhile.
 const FIRST_REVIEW_DELAY: Duration = Duration::from_millis(1_000);
-/// Time between two looks at who waits: far below the time in which silence is noticed.
+/// Time between two rankings: much shorter than the time after which a silent node is noticed.
 const REVIEW_INTERVAL: Duration = Duration::from_millis(500);
-/// Without a confirmation for this share of the bound for configurations a balancer reads for itself,
-/// if it is the first in turn. Those that wait are answered each 4 to 10 s, six of them about once a
-/// second: where the bound is short or they are few a reading now and then is made in vain.
+/// Share of the configuration bound without a confirmation after which the first balancer in turn
+/// reads the store itself. Each watch is answered every 4 to 10 s, six of them about once a second
+/// in all, so with a short bound or few watchers an occasional read is redundant.
 const STALE_SHARE: f64 = 1.0 / 3.0;
-/// Balancers read for themselves one after the other. The turns of all take no longer than this share of
-/// the bound: the last one's comes at two thirds of it, whatever their number, and a third is left for
-/// its word to reach the others.
+/// Share of the configuration bound over which the balancers' turns to read are spread. Whatever
+/// their number, the last turn comes at two thirds of the bound, and a third is left for its result
+/// to reach the others.
 const TURNS_SHARE: f64 = 1.0 / 3.0;
-/// While the store answers nobody, all together read it so often within the bound.
+/// Maximum number of reads by all balancers together within the configuration bound while the store
+/// answers none of them.
 const MAX_FAILED_READS: f64 = 60.0;
-/// First rest of a balancer that the store has not answered; it doubles each time ...
+/// First backoff after an unanswered call to the store. It doubles with each failure, up to
+/// [`BACKOFF_PER_WATCHER`] times the number of watchers, but no longer than [`MAX_BACKOFF`].
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
-/// ... up to so much for each balancer that waits: together they try the store a few times a second,
-/// and its return is noticed within a second, ...
+/// Longest backoff for each watching balancer: together they call the store a few times a second,
+/// so that its return is noticed within a second.
 const BACKOFF_PER_WATCHER: Duration = Duration::from_millis(400);
-/// ... and never longer than this.
+/// Longest backoff, whatever the number of watchers.
 const MAX_BACKOFF: Duration = Duration::from_secs(6);
 
-/// This balancer's part in following the store.
+/// This balancer's role in watching the store.
 #[derive(Debug)]
 pub(super) struct StoreWatch {
-    /// An accepted configuration is in force everywhere after this time.
+    /// Configuration bound: maximum time from the acceptance of a configuration until it is in
+    /// force on every node.
     bound: Duration,
-    /// It is one of those that wait.
+    /// Whether this balancer is one of those that watch the store.
     is_chosen: bool,
-    /// Its place among all balancers known.
+    /// Its rank among all known balancers.
     rank: usize,
-    /// How many balancers wait, as far as is known.
+    /// Estimated number of balancers that watch the store.
     watchers: usize,
     balancers: usize,
     next_review: Duration,
     last_read: Option<Duration>,
     backoff_until: Duration,
-    /// Failures in a row.
+    /// Consecutive failed calls.
     failures: u32,
-    /// Returns of the store that were known when it ceased to answer.
+    /// Number of returns of the store known when it stopped answering this balancer.
     returns_at_loss: Option<u32>,
-    /// A line has told that an accepted change may be late here.
+    /// Whether it was logged that accepted changes may arrive here late.
     is_logged_late: bool,
 }
 
 impl StoreWatch {
-    /// A balancer that waits for nothing yet.
+    /// Creates the state of a balancer that does not watch the store yet.
     pub(super) fn new(bound: Duration) -> Self {
         StoreWatch {
             bound,
@@ -85,39 +90,40 @@
         }
     }
 
-    /// The bound for configurations.
+    /// The configuration bound.
     pub(super) fn bound(&self) -> Duration {
         self.bound
     }
 
-    fn rest(&mut self, now: Duration, jitter: f64) {
-        let longest =
+    fn back_off(&mut self, now: Duration, jitter: f64) {
+        let max_backoff =
             (BACKOFF_PER_WATCHER * self.watchers as u32).clamp(INITIAL_BACKOFF, MAX_BACKOFF);
-        let rest = (INITIAL_BACKOFF * (1 << self.failures.min(10))).min(longest);
+        let backoff = (INITIAL_BACKOFF * (1 << self.failures.min(10))).min(max_backoff);
         self.failures += 1;
-        self.backoff_until = now + rest.mul_f64(jitter);
+        self.backoff_until = now + backoff.mul_f64(jitter);
     }
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// Whether this balancer is to wait at the shared store.
+    /// Whether this balancer should watch the shared store now.
     pub fn watches_store(&self, now: Duration) -> bool {
         let watch = &self.store_watch;
         let is_chosen = watch.is_chosen || !self.policies.has(Policy::FewWatchers);
         is_chosen && now >= watch.backoff_until
     }
 
-    /// How often the shared store has come back after an absence, as far as is known.
+    /// How often the shared store has returned from an outage, as far as is known.
     pub fn store_returns(&self) -> u32 {
         self.standing.store.returns()
     }
 
-    /// Learns whether the shared store answers this balancer: all that it had is known by now.
+    /// Records whether the shared store has answered this balancer. If it has, this balancer knows
+    /// everything that the store held at that time.
     pub fn note_store(&mut self, now: Duration, answers: bool) {
         self.note_store_answer(now, answers);
         if !answers {
             let jitter = self.random.random_range(0.75..1.25);
-            self.store_watch.rest(now, jitter);
+            self.store_watch.back_off(now, jitter);
             let returns = self.standing.store.returns();
             self.store_watch.returns_at_loss.get_or_insert(returns);
             return;
@@ -131,12 +137,12 @@
         }
     }
 
-    /// Time since every accepted configuration was known here.
+    /// Time since this balancer last knew every accepted configuration.
     pub(super) fn unconfirmed_for(&self, now: Duration) -> Duration {
         now.saturating_sub(self.standing.store.confirmed_at())
     }
 
-    /// When [`CarriedBalancer::follow_store`] has something to do next.
+    /// When [`CarriedBalancer::follow_store`] must be called next.
     pub(super) fn next_store_action(&self) -> Duration {
         let review = self.next_review();
         self.next_read().map_or(review, |reading| reading.min(review))
@@ -147,17 +153,17 @@
         self.store_watch.next_review.max(first)
     }
 
-    /// When this balancer reads the store for itself, unless it hears of a confirmation before.
+    /// When this balancer reads the store itself, unless it receives a confirmation before.
     fn next_read(&self) -> Option<Duration> {
         let watch = &self.store_watch;
         let balancers = watch.balancers;
-        // Before the first review it has no place among the others.
+        // Before the first review this balancer has no rank.
         if balancers == 0 {
             return None;
         }
-        // In this time the word of the one before comes with its heartbeat.
-        let word_takes = self.standing.membership.interval();
-        let turn = watch.bound.mul_f64(TURNS_SHARE / balancers as f64).min(word_takes);
+        // Within a heartbeat interval the result of the previous balancer's read arrives here.
+        let heartbeat_interval = self.standing.membership.interval();
+        let turn = watch.bound.mul_f64(TURNS_SHARE / balancers as f64).min(heartbeat_interval);
         let stale_after = watch.bound.mul_f64(STALE_SHARE) + turn * watch.rank as u32;
         let confirmed_at = self.standing.store.confirmed_at();
         let pause = watch.bound.mul_f64((balancers as f64 / MAX_FAILED_READS).max(1.0));
@@ -165,7 +171,8 @@
         Some(unanswered.map_or(confirmed_at + stale_after, |last| last + pause))
     }
 
-    /// Looks who waits at the store, and reads it where nobody seems to.
+    /// Updates which balancers watch the store, runs the audits, and reads the store if
+    /// confirmations are missing.
     pub(super) fn follow_store(&mut self, now: Duration) {
         if now >= self.next_review() {
             self.review_watchers(now);
@@ -182,7 +189,7 @@
         }
     }
 
-    /// A line when nobody has confirmed for the whole bound, and one when somebody has again.
+    /// Logs when no confirmation has arrived for the whole bound, and when one arrives again.
     fn log_staleness(&mut self, now: Duration) {
         let unconfirmed_for = self.unconfirmed_for(now);
         let is_late = unconfirmed_for > self.store_watch.bound;
@@ -197,6 +204,7 @@
         }
     }
 
+    /// Ranks the known balancers and decides whether this one watches the store.
     fn review_watchers(&mut self, now: Duration) {
         let places = self.standing.membership.places(now);
         let zones = (places.balancers / places.in_zone.max(1)).max(1);
--- a/crates/carried/src/balancer/system_state.rs
+++ b/crates/carried/src/balancer/system_state.rs
@@ -1,16 +1,16 @@
-//! What a balancer knows of the system besides its flows: nodes and configuration.
+//! Snapshots, members and configurations that a balancer receives.
 
 use super::*;
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// What this node gives to whoever asks.
+    /// The snapshot that this node sends to a node that requests it.
     pub fn snapshot(&self) -> Snapshot {
         let has_ended =
             |agent: &SocketAddrV4| self.pool.view(agent).is_some_and(AgentView::has_ended);
         self.standing.snapshot(|address| !has_ended(address))
     }
 
-    /// Takes a node's snapshot.
+    /// Merges the members and the configuration of another node's snapshot.
     pub fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
         self.standing.learn(now, &snapshot.members);
         if let Some(configuration) = snapshot.configuration {
@@ -18,19 +18,19 @@
         }
     }
 
-    /// Learns of nodes by hearsay; there may be others.
+    /// Adds members reported by other nodes; the list may be incomplete.
     pub fn add_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
         self.standing.learn(now, members);
     }
 
-    /// Takes the whole list of nodes that the shared store holds.
+    /// Adds the members of the shared store's complete list.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
         self.absence_evidence.note_member_list();
         self.standing.learn(now, members);
     }
 
-    /// Puts in force what is newer of a configuration than the one in force; `true` when that says
-    /// something else.
+    /// Puts a configuration in force as far as it is newer than the current one. Returns `true` if
+    /// the content in force has changed.
     pub fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration) -> bool {
         match self.standing.adopt(now, configuration) {
             Adoption::Outdated => {
