--- a/crates/carried/tests/audit.rs
+++ b/crates/carried/tests/audit.rs
@@ -1,4 +1,4 @@
-//! The shared store's list of nodes is compared with those that live.
+//! Audits of the shared store's list of nodes against the live nodes.
 
 mod support;
 
@@ -11,30 +11,31 @@
 use support::*;
 
 const SECOND: u64 = 1_000;
-/// An audit takes place at least so often.
-const LATEST_AUDIT: u64 = 76 * SECOND;
+/// Upper bound of the interval between two audits.
+const MAX_AUDIT_INTERVAL: u64 = 76 * SECOND;
 
 fn listed(address: SocketAddrV4, role: NodeRole) -> ListedNode {
     ListedNode { address, role }
 }
 
 /// A list that may be seconds old.
-fn old(nodes: &[ListedNode]) -> NodeList {
+fn stale_list(nodes: &[ListedNode]) -> NodeList {
     NodeList { nodes: nodes.to_vec(), is_newest: false }
 }
 
-fn newest(nodes: &[ListedNode]) -> NodeList {
-    NodeList { is_newest: true, ..old(nodes) }
+fn newest_list(nodes: &[ListedNode]) -> NodeList {
+    NodeList { is_newest: true, ..stale_list(nodes) }
 }
 
-/// Alone it waits at the store.
+/// The only balancer of its zone, which therefore watches the store.
 fn balancer_alone() -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     balancer.learn_members(milliseconds(0), &[]);
     balancer
 }
 
-/// Has agents be heard each second while what is due is done, and collects what the balancer asks for.
+/// Delivers a heartbeat of each agent every second, runs the balancer's timers, and collects its
+/// outputs.
 fn run(balancer: &mut CarriedBalancer, agents: &[u8], from: u64, to: u64) -> Vec<(u64, Output)> {
     let mut seen = Vec::new();
     for at in (from..to).step_by(100) {
@@ -63,7 +64,7 @@
     seen.iter().filter_map(of).collect()
 }
 
-fn told(outputs: &[Output]) -> Vec<SocketAddrV4> {
+fn notified(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let of = |output: &Output| match output {
         Output::ToPeer { to, message: Message::NotListed } => Some(*to),
         _ => None,
@@ -72,22 +73,22 @@
 }
 
 #[test]
-fn balancers_that_wait_at_the_store_audit_about_once_a_minute() {
+fn balancers_that_watch_the_store_audit_about_once_a_minute() {
     let mut balancer = balancer_alone();
-    let seen = audits(&run(&mut balancer, &[1], 0, 10 * LATEST_AUDIT));
+    let seen = audits(&run(&mut balancer, &[1], 0, 10 * MAX_AUDIT_INTERVAL));
     assert!((8..=17).contains(&seen.len()), "{seen:?}");
     assert!(seen.iter().all(|(_, is_urgent)| !is_urgent), "{seen:?}");
 }
 
 #[test]
-fn balancers_that_wait_for_nothing_audit_nothing() {
+fn balancers_that_do_not_watch_the_store_do_not_audit() {
     let mut settings = balancer_settings(1);
     settings.node.address = address("10.1.0.99:7720");
     let mut balancer = CarriedBalancer::new(settings, PlainFormat);
     balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
-    for at in (0..3 * LATEST_AUDIT).step_by(500) {
+    for at in (0..3 * MAX_AUDIT_INTERVAL).step_by(500) {
         for number in 1..=20 {
-            balancer.handle_peer(milliseconds(at), balancer_of(number), &heard(0));
+            balancer.handle_peer(milliseconds(at), balancer_of(number), &encoded_heartbeat(0));
         }
         balancer.handle_timeout(milliseconds(at));
         let outputs = outputs_of(&mut balancer);
@@ -95,7 +96,7 @@
     }
 }
 
-fn heard(store_returns: u32) -> Vec<u8> {
+fn encoded_heartbeat(store_returns: u32) -> Vec<u8> {
     Message::Heartbeat(heartbeat_of("a", None, store_returns)).encode()
 }
 
@@ -103,45 +104,45 @@
     SocketAddrV4::new([10, 1, 0, number].into(), 7720)
 }
 
-/// The store has refused some for a while: entries may have gone meanwhile.
+/// Entries may be lost while the store refuses some nodes.
 #[test]
-fn the_newest_list_is_compared_at_once_when_the_store_is_back() {
+fn the_newest_list_is_audited_soon_after_the_store_returns() {
     let mut balancer = balancer_alone();
     run(&mut balancer, &[1], 0, 5 * SECOND);
-    balancer.handle_peer(milliseconds(5_000), address("10.1.0.2:7720"), &heard(1));
+    balancer.handle_peer(milliseconds(5_000), address("10.1.0.2:7720"), &encoded_heartbeat(1));
     let seen = audits(&run(&mut balancer, &[1], 5 * SECOND, 6 * SECOND));
     assert!(matches!(seen[..], [(_, true)]), "{seen:?}");
 }
 
 #[test]
-fn a_node_that_lives_and_is_not_listed_is_told() {
+fn a_live_node_without_an_entry_is_notified() {
     let mut balancer = balancer_alone();
     let now = 20 * SECOND;
     run(&mut balancer, &[1, 2], 0, now);
     let list =
         [listed(balancer_address(), NodeRole::Balancer), listed(agent_address(1), NodeRole::Agent)];
-    assert_eq!(balancer.audit_members(milliseconds(now), &old(&list)), []);
+    assert_eq!(balancer.audit_members(milliseconds(now), &stale_list(&list)), []);
     let outputs = outputs_of(&mut balancer);
-    assert_eq!(told(&outputs), [agent_address(2)]);
-    assert!(!outputs.contains(&Output::WriteEntry), "its own entry stands");
-    balancer.audit_members(milliseconds(now), &old(&list[1..]));
+    assert_eq!(notified(&outputs), [agent_address(2)]);
+    assert!(!outputs.contains(&Output::WriteEntry), "its own entry is listed");
+    balancer.audit_members(milliseconds(now), &stale_list(&list[1..]));
     assert!(outputs_of(&mut balancer).contains(&Output::WriteEntry));
 }
 
 #[test]
-fn one_that_has_only_just_come_is_told_by_the_newest_list_only() {
+fn a_node_that_has_just_joined_is_notified_only_if_the_newest_list_lacks_it() {
     let mut balancer = balancer_alone();
     let now = 2 * SECOND;
     run(&mut balancer, &[1], 0, now);
     let list = [listed(balancer_address(), NodeRole::Balancer)];
-    balancer.audit_members(milliseconds(now), &old(&list));
-    assert_eq!(told(&outputs_of(&mut balancer)), [], "the list may be older than its entry");
-    balancer.audit_members(milliseconds(now), &newest(&list));
-    assert_eq!(told(&outputs_of(&mut balancer)), [agent_address(1)], "the store has lost it");
+    balancer.audit_members(milliseconds(now), &stale_list(&list));
+    assert_eq!(notified(&outputs_of(&mut balancer)), [], "the list may be older than its entry");
+    balancer.audit_members(milliseconds(now), &newest_list(&list));
+    assert_eq!(notified(&outputs_of(&mut balancer)), [agent_address(1)], "the store has lost it");
 }
 
 #[test]
-fn the_entry_of_a_node_that_nobody_has_heard_for_nine_minutes_is_removed() {
+fn the_entry_of_a_node_that_was_silent_for_nine_minutes_is_removed() {
     let mut balancer = balancer_alone();
     let dead = listed(agent_address(9), NodeRole::Agent);
     let list = [
@@ -149,20 +150,24 @@
         listed(agent_address(1), NodeRole::Agent),
         dead,
     ];
-    // Found at its first audit; until then nobody knows how long it has been silent.
-    assert_eq!(balancer.audit_members(milliseconds(0), &old(&list)), []);
+    // The node's silence counts from the first audit, in which the balancer learns of it.
+    assert_eq!(balancer.audit_members(milliseconds(0), &stale_list(&list)), []);
     for minute in 1..9 {
         run(&mut balancer, &[1], (minute - 1) * 60 * SECOND, minute * 60 * SECOND);
-        assert_eq!(balancer.audit_members(milliseconds(minute * 60 * SECOND), &old(&list)), []);
+        assert_eq!(
+            balancer.audit_members(milliseconds(minute * 60 * SECOND), &stale_list(&list)),
+            []
+        );
     }
     run(&mut balancer, &[1], 8 * 60 * SECOND, 9 * 60 * SECOND);
-    let removed = balancer.audit_members(milliseconds(9 * 60 * SECOND), &old(&list));
+    let removed = balancer.audit_members(milliseconds(9 * 60 * SECOND), &stale_list(&list));
     assert_eq!(removed, [dead.address]);
 }
 
-/// The store may refuse a node that leaves; after a restart of all nobody would remember that it has.
+/// The store may refuse the removal by the leaving node itself, and after a restart of the whole
+/// system no balancer would know of its departure notice.
 #[test]
-fn the_entry_of_an_agent_that_said_good_bye_is_removed_once_it_is_silent() {
+fn the_entry_of_an_agent_is_removed_after_its_departure_notice_and_silence() {
     let mut balancer = balancer_alone();
     run(&mut balancer, &[1, 2], 0, 20 * SECOND);
     let ended = LoadReport {
@@ -178,16 +183,19 @@
     ];
     run(&mut balancer, &[1], 20 * SECOND, 21 * SECOND);
     assert_eq!(
-        balancer.audit_members(milliseconds(21 * SECOND), &old(&list)),
+        balancer.audit_members(milliseconds(21 * SECOND), &stale_list(&list)),
         [],
-        "it may speak again"
+        "it may still send something"
     );
     run(&mut balancer, &[1], 21 * SECOND, 23 * SECOND);
-    assert_eq!(balancer.audit_members(milliseconds(23 * SECOND), &old(&list)), [agent_address(2)]);
+    assert_eq!(
+        balancer.audit_members(milliseconds(23 * SECOND), &stale_list(&list)),
+        [agent_address(2)]
+    );
 }
 
 #[test]
-fn a_node_that_was_told_enters_itself_again() {
+fn a_node_that_is_notified_writes_its_entry_again() {
     let mut agent = agent(false);
     agent.handle_peer(Duration::ZERO, balancer_address(), &Message::NotListed.encode());
     assert_eq!(outputs(&mut agent), [Output::WriteEntry]);
@@ -196,9 +204,10 @@
     assert!(outputs_of(&mut balancer).contains(&Output::WriteEntry));
 }
 
-/// An absence of a moment may pass unnoticed; the era that answers bear does not.
+/// A short outage of the store may go unnoticed, but its answers carry the era, which a restore
+/// changes.
 #[test]
-fn a_store_that_has_gone_back_is_audited_at_once_with_its_newest_list() {
+fn a_restored_store_is_audited_soon_with_its_newest_list() {
     let mut balancer = balancer_alone();
     run(&mut balancer, &[1], 0, 5 * SECOND);
     let mut restored = configuration(1, vec![route(service_address(), SERVICE)]);
--- a/crates/carried/tests/balancer.rs
+++ b/crates/carried/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The balancer offers, locates and refuses.
+//! The balancer offers new flows to agents, looks up unknown flows, and refuses callers.
 
 mod support;
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// A balancer with a route to `SERVICE` and `agents` agents of it.
+/// A balancer with a route to `SERVICE`, which has that many agents.
 fn balancer(agents: u8) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     for agent in 1..=agents {
@@ -37,14 +37,14 @@
     balancer
 }
 
-/// When agents of [`settled_balancer`] have long been there.
-const SETTLED: Duration = Duration::from_secs(5);
+/// Time by which the agents of [`settled_balancer`] no longer count as newly arrived.
+const SETTLED_AT: Duration = Duration::from_secs(5);
 
-/// A balancer whose agents have long been there.
+/// A balancer whose agents are accepting flows since long before [`SETTLED_AT`].
 fn settled_balancer(agents: u8) -> CarriedBalancer {
     let mut balancer = balancer(agents);
     for agent in 1..=agents {
-        tell(&mut balancer, SETTLED, agent, load(SERVICE, 0));
+        tell(&mut balancer, SETTLED_AT, agent, load(SERVICE, 0));
     }
     outputs_of(&mut balancer);
     balancer
@@ -54,7 +54,7 @@
     outputs.iter().any(|output| matches!(output, Output::ToCaller { .. }))
 }
 
-fn located(outputs: &[Output]) -> Vec<SocketAddrV4> {
+fn asked_agents(outputs: &[Output]) -> Vec<SocketAddrV4> {
     outputs
         .iter()
         .filter_map(|output| match output {
@@ -71,30 +71,30 @@
 }
 
 #[test]
-fn a_slot_is_asked_for_then_each_queue_then_two_lines_and_then_the_caller_is_told() {
+fn a_flow_is_offered_for_a_slot_then_to_each_queue_then_to_two_wait_queues_then_refused() {
     let mut balancer = settled_balancer(3);
-    balancer.handle_caller(SETTLED, &packet(&opening(1)));
+    balancer.handle_caller(SETTLED_AT, &packet(&opening(1)));
     let mut asked = Vec::new();
     loop {
         let outputs = outputs_of(&mut balancer);
         let Some(offer) = offers(&outputs).first().copied() else {
-            assert!(has_reset(&outputs), "the last answer is at once the caller's");
+            assert!(has_reset(&outputs), "the last decline is passed on to the caller at once");
             break;
         };
         assert!(!has_reset(&outputs));
-        asked.push((offer.0, wanted(&outputs)));
-        decline(&mut balancer, SETTLED + milliseconds(1), offer);
+        asked.push((offer.0, requested_admission(&outputs)));
+        decline(&mut balancer, SETTLED_AT + milliseconds(1), offer);
     }
     let kinds: Vec<&str> = asked.iter().map(|(_, wanted)| *wanted).collect();
     assert_eq!(kinds, ["slot", "queue", "queue", "queue", "line", "line"]);
     let mut queues: Vec<SocketAddrV4> = asked[1..4].iter().map(|(agent, _)| *agent).collect();
     queues.sort_unstable();
     assert_eq!(queues, [1, 2, 3].map(agent_address), "each queue once");
-    assert_ne!(asked[4].0, asked[5].0, "each line once");
+    assert_ne!(asked[4].0, asked[5].0, "each wait queue once");
 }
 
-/// What the offer among outputs asks for.
-fn wanted(outputs: &[Output]) -> &'static str {
+/// What the first offer among the outputs asks for.
+fn requested_admission(outputs: &[Output]) -> &'static str {
     let admission = outputs.iter().find_map(|output| match output {
         Output::ToPeer { message: Message::Offer { admission, .. }, .. } => Some(*admission),
         _ => None,
@@ -112,12 +112,12 @@
     let mut balancer = settled_balancer(20);
     let mut refused = 0;
     for port in 1..=200 {
-        let now = SETTLED + milliseconds(u64::from(port));
+        let now = SETTLED_AT + milliseconds(u64::from(port));
         balancer.handle_caller(now, &packet(&opening(port)));
         for _ in 0..2 {
             let outputs = outputs_of(&mut balancer);
             let Some(offer) = offers(&outputs).first().copied() else { break };
-            match wanted(&outputs) == "slot" {
+            match requested_admission(&outputs) == "slot" {
                 true => decline(&mut balancer, now, offer),
                 false => {
                     let placed = Message::Placed { number: offer.1, report: load(SERVICE, 5) };
@@ -128,11 +128,11 @@
         refused += usize::from(has_reset(&outputs_of(&mut balancer)));
     }
     assert_eq!(refused, 0);
-    assert_eq!(balancer.counters(SETTLED).openings_placed, 200);
+    assert_eq!(balancer.counters(SETTLED_AT).openings_placed, 200);
 }
 
 #[test]
-fn an_agent_that_says_nothing_is_passed_over_within_milliseconds() {
+fn an_agent_that_does_not_answer_is_skipped_within_milliseconds() {
     let mut balancer = balancer(2);
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
     let first = offers(&outputs_of(&mut balancer));
@@ -156,10 +156,10 @@
 }
 
 #[test]
-fn a_repeated_opening_never_goes_to_an_agent_of_another_service() {
+fn a_retransmitted_syn_never_goes_to_an_agent_of_another_service() {
     let mut balancer = balancer(1);
     tell(&mut balancer, milliseconds(0), 9, load("sheets", 0));
-    // A wrong memory: the flow is believed to live at an agent of another service.
+    // A wrong record: an agent of another service is taken to own the flow.
     let held = found(1, Word::Held);
     balancer.handle_peer(milliseconds(1), agent_address(9), &held.encode());
     let copy = Segment { acknowledgement: 1, ..opening(1) };
@@ -182,12 +182,12 @@
 }
 
 #[test]
-fn a_packet_of_an_open_flow_without_memory_asks_every_agent_and_is_never_reset() {
+fn a_packet_of_an_unknown_open_flow_asks_every_agent_and_is_never_reset() {
     let mut balancer = balancer(3);
     balancer.handle_caller(milliseconds(1), &packet(&data(1, 101, 501)));
     balancer.handle_timeout(milliseconds(1));
     let outputs = outputs_of(&mut balancer);
-    assert_eq!(located(&outputs).len(), 3);
+    assert_eq!(asked_agents(&outputs).len(), 3);
     assert!(!has_reset(&outputs));
     let held = found(1, Word::Held);
     balancer.handle_peer(milliseconds(2), agent_address(2), &held.encode());
@@ -195,20 +195,24 @@
         let datagram = packet(&data(1, sequence, 501));
         Output::ToPeer { to: agent_address(2), message: Message::Forward { datagram } }
     };
-    assert_eq!(outputs_of(&mut balancer), [forwarded(101)], "what waited goes there");
+    assert_eq!(
+        outputs_of(&mut balancer),
+        [forwarded(101)],
+        "the waiting packet is forwarded to the owner"
+    );
     balancer.handle_caller(milliseconds(3), &packet(&data(1, 111, 501)));
     assert_eq!(outputs_of(&mut balancer), [forwarded(111)]);
 }
 
 #[test]
-fn a_packet_that_an_agent_does_not_hold_is_located_among_the_others() {
+fn a_packet_that_an_agent_returns_is_looked_up_among_the_others() {
     let mut balancer = balancer(3);
     let held = found(1, Word::Held);
     balancer.handle_peer(milliseconds(1), agent_address(2), &held.encode());
     let not_held = Message::NotHeld { datagram: packet(&data(1, 101, 501)) };
     balancer.handle_peer(milliseconds(2), agent_address(2), &not_held.encode());
     balancer.handle_timeout(milliseconds(2));
-    let mut asked = located(&outputs_of(&mut balancer));
+    let mut asked = asked_agents(&outputs_of(&mut balancer));
     asked.sort();
     assert_eq!(asked, [agent_address(1), agent_address(3)]);
 }
@@ -256,7 +260,7 @@
 }
 
 #[test]
-fn news_reaches_a_bounded_number_of_agents_at_once() {
+fn a_new_configuration_is_announced_to_a_bounded_number_of_agents_at_once() {
     let mut balancer = balancer(200);
     balancer.handle_timeout(Duration::from_secs(1));
     outputs_of(&mut balancer);
@@ -280,7 +284,7 @@
 }
 
 #[test]
-fn an_agent_that_has_just_said_that_it_is_full_is_only_asked_for_a_place_in_its_queue() {
+fn an_agent_that_has_just_reported_that_it_is_full_is_only_asked_for_a_place_in_its_queue() {
     let mut balancer = balancer(2);
     tell(&mut balancer, milliseconds(1), 1, load(SERVICE, 4));
     tell(&mut balancer, milliseconds(1), 2, load(SERVICE, 4));
@@ -289,14 +293,14 @@
     loop {
         let outputs = outputs_of(&mut balancer);
         let Some(offer) = offers(&outputs).first().copied() else { break };
-        asked.push(wanted(&outputs));
+        asked.push(requested_admission(&outputs));
         decline(&mut balancer, milliseconds(3), offer);
     }
-    assert_eq!(asked, ["queue", "queue", "line", "line"], "none a slot");
+    assert_eq!(asked, ["queue", "queue", "line", "line"], "no agent for a free slot");
 }
 
 #[test]
-fn a_caller_that_goes_on_is_not_reset_though_no_agents_answer_came() {
+fn a_caller_that_sends_data_is_not_reset_though_no_agent_has_answered() {
     let mut balancer = balancer(1);
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
     outputs_of(&mut balancer);
@@ -310,7 +314,7 @@
 }
 
 #[test]
-fn a_back_end_that_fails_is_asked_only_where_no_other_is_there() {
+fn a_failing_back_end_is_used_only_if_there_is_no_other() {
     let failing = LoadReport { condition: BackendCondition::Failing, ..load(SERVICE, 0) };
     let mut balancer = balancer(2);
     tell(&mut balancer, milliseconds(1), 1, failing.clone());
--- a/crates/carried/tests/lookups.rs
+++ b/crates/carried/tests/lookups.rs
@@ -1,4 +1,4 @@
-//! Flows that a balancer does not remember: found by asking, waited for, or told to be over.
+//! Lookups of unknown flows: the balancer asks agents for the owner, waits, or resets the caller.
 
 mod support;
 
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use support::*;
 
-/// A flow's packet, as all tests here send it.
+/// The packet of an open flow that most tests here send.
 fn request() -> Segment {
     data(1, 101, 501)
 }
@@ -25,7 +25,7 @@
 }
 
 /// A balancer that knows `agents` agents and has read the list of nodes.
-fn acquainted(agents: u8) -> CarriedBalancer {
+fn informed_balancer(agents: u8) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     let list: Vec<_> = (1..=agents).map(|agent| (agent_address(agent), NodeRole::Agent)).collect();
     balancer.learn_members(milliseconds(0), &list);
@@ -44,12 +44,12 @@
     forwarded.collect()
 }
 
-/// Serves timers when they are due: a process that is late itself waits for others longer.
-fn serve_timers(balancer: &mut CarriedBalancer, from: u64, to: u64) {
+/// Runs timers every millisecond, on time: a delayed process would extend its timeouts.
+fn run_timers(balancer: &mut CarriedBalancer, from: u64, to: u64) {
     (from..=to).for_each(|at| balancer.handle_timeout(milliseconds(at)));
 }
 
-/// What a balancer does once nothing more comes in for a moment.
+/// Runs the timers due within 8 ms, in which nothing arrives, and returns all outputs.
 fn settle(balancer: &mut CarriedBalancer, now: Duration) -> Vec<Output> {
     let until = now + milliseconds(8);
     while let Some(at) = balancer.next_timeout().filter(|at| *at <= until) {
@@ -58,13 +58,13 @@
     outputs_of(balancer)
 }
 
-/// Gives a packet of a caller to a balancer.
+/// Delivers a caller's packet to a balancer and returns the outputs.
 fn receive(balancer: &mut CarriedBalancer, now: Duration, segment: &Segment) -> Vec<Output> {
     balancer.handle_caller(now, &packet(segment));
     settle(balancer, now)
 }
 
-fn say(
+fn answer(
     balancer: &mut CarriedBalancer,
     now: Duration,
     agent: SocketAddrV4,
@@ -74,8 +74,8 @@
     settle(balancer, now)
 }
 
-/// Answers every question with what `word` says of the agent, until nobody is asked any more; gives
-/// all outputs.
+/// Answers every question with the agent's answer as given by `word`, until no more are sent, and
+/// returns all outputs.
 fn answer_all(
     balancer: &mut CarriedBalancer,
     now: Duration,
@@ -90,7 +90,7 @@
         let mut next = Vec::new();
         for agent in asked(&open) {
             if let Some(said) = word(agent) {
-                next.extend(say(balancer, now, agent, said));
+                next.extend(answer(balancer, now, agent, said));
             }
         }
         open = next;
@@ -99,32 +99,32 @@
 }
 
 #[test]
-fn a_flow_that_every_agent_denies_is_told_to_be_over_at_the_last_answer() {
-    let mut balancer = acquainted(20);
+fn a_caller_is_reset_at_the_last_answer_if_no_agent_owns_its_flow() {
+    let mut balancer = informed_balancer(20);
     let mut open = asked(&receive(&mut balancer, milliseconds(1), &request()));
     assert_eq!(open.len(), 16, "the first batch");
     let mut said = 0;
     while let Some(agent) = open.pop() {
-        let outputs = say(&mut balancer, milliseconds(3), agent, Word::Absent);
+        let outputs = answer(&mut balancer, milliseconds(3), agent, Word::Absent);
         said += 1;
         open.extend(asked(&outputs));
         assert_eq!(resets(&outputs), usize::from(said == 20), "after {said}");
     }
     assert_eq!(balancer.counters(milliseconds(3)).flows_told_over, 1);
-    // The reset was lost: the repetition is answered at once.
+    // The reset was lost: the caller's retransmission is reset at once.
     balancer.handle_caller(milliseconds(203), &packet(&request()));
     assert_eq!(resets(&outputs_of(&mut balancer)), 1);
 }
 
 #[test]
-fn nobody_is_told_while_one_agent_has_not_answered() {
-    let mut balancer = acquainted(7);
+fn no_caller_is_reset_while_one_agent_has_not_answered() {
+    let mut balancer = informed_balancer(7);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let silent = agent_address(3);
     let deny = |agent| (agent != silent).then_some(Word::Absent);
     let outputs = answer_all(&mut balancer, milliseconds(3), deny);
     assert_eq!(resets(&outputs), 0);
-    // Cut off or frozen: what it holds lives. The others go on sending heartbeats.
+    // The silent agent may be partitioned or frozen, its flows still open. The others are heard.
     for at in (100..14_000).step_by(100) {
         for agent in (1..=7).filter(|agent| agent_address(*agent) != silent) {
             tell(&mut balancer, milliseconds(at), agent, load());
@@ -138,30 +138,30 @@
     }
     let held = found(1, Word::Held);
     balancer.handle_peer(milliseconds(14_000), silent, &held.encode());
-    assert!(!forwarded(&outputs_of(&mut balancer)).is_empty(), "found once it is back");
+    assert!(!forwarded(&outputs_of(&mut balancer)).is_empty(), "found once the agent is back");
 }
 
 #[test]
-fn an_agent_that_said_good_bye_holds_up_no_answer() {
-    let mut balancer = acquainted(7);
+fn a_departed_agent_does_not_block_a_lookup() {
+    let mut balancer = informed_balancer(7);
     let ended = LoadReport { condition: BackendCondition::Ended, ..load() };
     tell(&mut balancer, milliseconds(1), 3, ended);
     balancer.handle_caller(milliseconds(2), &packet(&request()));
     let gone = agent_address(3);
     let deny = |agent| (agent != gone).then_some(Word::Absent);
-    assert_eq!(resets(&answer_all(&mut balancer, milliseconds(3), deny)), 0, "it may answer yet");
-    serve_timers(&mut balancer, 3, 40);
+    assert_eq!(resets(&answer_all(&mut balancer, milliseconds(3), deny)), 0, "it may still answer");
+    run_timers(&mut balancer, 3, 40);
     assert_eq!(resets(&settle(&mut balancer, milliseconds(40))), 1, "within 40 ms");
     let known: Vec<_> = balancer.snapshot().members;
-    assert!(known.iter().all(|(address, _)| *address != agent_address(3)), "and is told to nobody");
+    assert!(known.iter().all(|(address, _)| *address != agent_address(3)), "not in snapshots");
 }
 
 #[test]
-fn an_agent_whose_good_bye_is_old_is_asked() {
-    let mut balancer = acquainted(7);
+fn an_agent_whose_departure_notice_is_old_is_asked() {
+    let mut balancer = informed_balancer(7);
     let ended = LoadReport { condition: BackendCondition::Ended, ..load() };
     tell(&mut balancer, milliseconds(1), 3, ended);
-    // The balancer stood still; the agent's next back end has long taken flows.
+    // The balancer's process was stalled; meanwhile the agent's next back end has accepted flows.
     balancer.resume(milliseconds(4_000));
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(4_001), &packet(&request()));
@@ -175,8 +175,8 @@
 }
 
 #[test]
-fn an_agent_known_by_hearsay_only_may_hold_the_flow() {
-    let mut balancer = acquainted(3);
+fn an_agent_known_only_from_the_list_may_own_the_flow() {
+    let mut balancer = informed_balancer(3);
     balancer.learn_members(milliseconds(1), &[(agent_address(9), NodeRole::Agent)]);
     balancer.handle_caller(milliseconds(2), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
@@ -186,14 +186,14 @@
 }
 
 #[test]
-fn a_balancer_that_has_not_read_the_list_tells_nobody_for_seconds() {
+fn a_balancer_that_has_not_read_the_list_resets_no_caller_for_seconds() {
     let mut balancer = new_balancer(1);
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(0), agent, load());
     }
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(Word::Absent));
-    assert_eq!(resets(&outputs), 0, "there may be others");
+    assert_eq!(resets(&outputs), 0, "there may be other agents");
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(5_100), agent, load());
     }
@@ -203,8 +203,8 @@
 }
 
 #[test]
-fn a_packet_is_given_to_no_back_end_before_all_that_know_have_denied() {
-    let mut balancer = acquainted(7);
+fn a_packet_is_tried_at_no_back_end_before_all_agents_that_know_have_denied() {
+    let mut balancer = informed_balancer(7);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let unsure = agent_address(2);
     let word = |agent| match agent == unsure {
@@ -214,14 +214,14 @@
     let outputs = answer_all(&mut balancer, milliseconds(3), word);
     assert_eq!(tried(&outputs), [unsure]);
     assert_eq!(forwarded(&outputs), []);
-    assert_eq!(resets(&outputs), 0, "its back end is to tell");
-    let outputs = say(&mut balancer, milliseconds(4), unsure, Word::Absent);
+    assert_eq!(resets(&outputs), 0, "the back end's reaction decides");
+    let outputs = answer(&mut balancer, milliseconds(4), unsure, Word::Absent);
     assert_eq!(resets(&outputs), 1);
 }
 
 #[test]
-fn while_the_holder_may_be_one_that_cannot_be_asked_two_trials_are_all() {
-    let mut balancer = acquainted(7);
+fn while_a_silent_agent_may_own_the_flow_only_two_trials_are_made() {
+    let mut balancer = informed_balancer(7);
     let silent = agent_address(7);
     let word = |agent| (agent != silent).then_some(Word::Unsure);
     let mut given = HashSet::new();
@@ -241,8 +241,8 @@
 }
 
 #[test]
-fn an_agent_that_has_not_heard_of_its_back_end_is_asked_again_and_given_nothing() {
-    let mut balancer = acquainted(3);
+fn an_agent_that_has_not_heard_of_its_back_end_is_asked_again_without_a_trial() {
+    let mut balancer = informed_balancer(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let early = |agent| match agent == agent_address(1) {
         true => Some(Word::Early),
@@ -257,29 +257,29 @@
 }
 
 #[test]
-fn after_a_restart_of_everything_nodes_that_do_not_come_back_hold_up_no_answer() {
+fn after_a_restart_of_the_whole_system_missing_nodes_do_not_block_a_lookup() {
     let restarted = LoadReport { begun_ms_ago: Some(100), ..load() };
-    let mut balancer = acquainted(0);
+    let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
-    serve_timers(&mut balancer, 10, 99);
+    run_timers(&mut balancer, 10, 99);
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(100), agent, restarted.clone());
     }
-    serve_timers(&mut balancer, 100, 119);
+    run_timers(&mut balancer, 100, 119);
     balancer.handle_caller(milliseconds(120), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(Word::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(121), deny)), 0);
-    serve_timers(&mut balancer, 121, 320);
+    run_timers(&mut balancer, 121, 320);
     balancer.handle_caller(milliseconds(320), &packet(&request()));
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(321), deny)), 1);
 }
 
 #[test]
-fn a_balancer_that_was_cut_off_at_its_start_waits_for_who_was_not_heard() {
+fn a_balancer_that_was_partitioned_at_its_start_waits_for_missing_agents() {
     let restarted = LoadReport { begun_ms_ago: Some(900), ..load() };
-    let mut balancer = acquainted(0);
+    let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
-    // All started together; the agents are heard 0.9 s later, one of them not any more.
+    // All started together. The agents are heard 0.9 s later, but one of them is missing by then.
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(900), agent, restarted.clone());
     }
@@ -289,10 +289,10 @@
 }
 
 #[test]
-fn a_balancer_that_started_later_than_the_rest_waits_for_who_was_not_heard() {
-    // Everything restarted three seconds ago, this balancer again just now.
+fn a_balancer_that_started_later_than_the_rest_waits_for_missing_agents() {
+    // The whole system restarted three seconds ago, and this balancer once more just now.
     let restarted = LoadReport { begun_ms_ago: Some(3_000), ..load() };
-    let mut balancer = acquainted(0);
+    let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     for agent in 1..=3 {
         tell(&mut balancer, milliseconds(100), agent, restarted.clone());
@@ -303,9 +303,9 @@
 }
 
 #[test]
-fn one_back_end_of_before_and_not_everything_has_restarted() {
+fn one_older_back_end_shows_that_not_the_whole_system_has_restarted() {
     let restarted = LoadReport { begun_ms_ago: Some(100), ..load() };
-    let mut balancer = acquainted(0);
+    let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     tell(&mut balancer, milliseconds(100), 1, restarted.clone());
     tell(&mut balancer, milliseconds(100), 2, restarted);
@@ -316,11 +316,11 @@
 }
 
 #[test]
-fn packets_that_ask_for_nothing_are_never_reset() {
+fn packets_whose_callers_expect_no_answer_are_never_reset() {
     let finish = Segment { finishes: true, payload_bytes: 0, ..request() };
     let acknowledgement = Segment { payload_bytes: 0, ..request() };
     for segment in [finish, acknowledgement, Segment { finishes: true, ..request() }] {
-        let mut balancer = acquainted(3);
+        let mut balancer = informed_balancer(3);
         balancer.handle_caller(milliseconds(1), &packet(&segment));
         let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(Word::Absent));
         assert_eq!(asked(&outputs).len(), 3);
@@ -329,54 +329,54 @@
 }
 
 #[test]
-fn words_of_strangers_and_words_that_were_not_asked_for_change_nothing() {
-    let mut balancer = acquainted(1);
+fn answers_of_unknown_nodes_and_unrequested_answers_change_nothing() {
+    let mut balancer = informed_balancer(1);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     outputs_of(&mut balancer);
-    let stranger = address("10.9.9.9:7720");
+    let unknown_node = address("10.9.9.9:7720");
     for message in [found(1, Word::Held), Message::Ended { flow: flow_named(1) }] {
-        balancer.handle_peer(milliseconds(2), stranger, &message.encode());
+        balancer.handle_peer(milliseconds(2), unknown_node, &message.encode());
         assert_eq!(outputs_of(&mut balancer), []);
     }
-    assert_eq!(resets(&say(&mut balancer, milliseconds(2), stranger, Word::Absent)), 0);
+    assert_eq!(resets(&answer(&mut balancer, milliseconds(2), unknown_node, Word::Absent)), 0);
     balancer.handle_peer(milliseconds(2), agent_address(1), &found(2, Word::Absent).encode());
     assert_eq!(outputs_of(&mut balancer), []);
     assert_eq!(balancer.counters(milliseconds(2)).answers_unexpected, 4);
 }
 
 #[test]
-fn a_port_that_is_used_again_ends_the_search_of_before() {
-    let mut balancer = acquainted(3);
+fn a_reused_port_ends_the_lookup_of_its_earlier_flow() {
+    let mut balancer = informed_balancer(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(2), &packet(&opening(1)));
     for agent in 1..=3 {
         let agent = agent_address(agent);
-        assert_eq!(resets(&say(&mut balancer, milliseconds(3), agent, Word::Absent)), 0);
+        assert_eq!(resets(&answer(&mut balancer, milliseconds(3), agent, Word::Absent)), 0);
     }
 }
 
 #[test]
-fn what_was_said_of_a_port_s_earlier_flow_is_not_said_of_its_next() {
+fn answers_about_a_ports_earlier_flow_do_not_apply_to_its_next_flow() {
     for age in [20, 2_500] {
-        let mut balancer = acquainted(3);
+        let mut balancer = informed_balancer(3);
         balancer.handle_caller(milliseconds(1), &packet(&request()));
         let outputs = answer_all(&mut balancer, milliseconds(2), |_| Some(Word::Absent));
         assert_eq!(resets(&outputs), 1);
-        // The next flow opened through another balancer; its back end's numbers are others.
+        // The next flow was opened through another balancer, and its sequence numbers differ.
         let next = data(1, 77_000_000, 2_000_000_000);
         balancer.handle_caller(milliseconds(40 + age), &packet(&next));
         let outputs = answer_all(&mut balancer, milliseconds(40 + age), |agent| {
             (agent != agent_address(2)).then_some(Word::Absent)
         });
-        assert_eq!(asked(&outputs).len(), 3, "all are asked anew");
+        assert_eq!(asked(&outputs).len(), 3, "all are asked again");
         assert_eq!(resets(&outputs), 0);
     }
 }
 
 #[test]
-fn words_are_asked_for_anew_once_they_are_old() {
-    let mut balancer = acquainted(3);
+fn answers_are_requested_again_once_they_are_old() {
+    let mut balancer = informed_balancer(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     answer_all(&mut balancer, milliseconds(2), |_| Some(Word::Absent));
     balancer.handle_caller(milliseconds(1_600), &packet(&request()));
@@ -385,8 +385,8 @@
 }
 
 #[test]
-fn packets_wait_for_the_answer_and_go_out_in_their_order() {
-    let mut balancer = acquainted(3);
+fn packets_wait_for_the_answer_and_are_forwarded_in_order() {
+    let mut balancer = informed_balancer(3);
     let parts: Vec<Vec<u8>> = (0..40).map(|part| packet(&data(1, 101 + 10 * part, 501))).collect();
     for part in &parts {
         balancer.handle_caller(milliseconds(1), part);
@@ -401,22 +401,22 @@
             _ => None,
         })
         .collect();
-    assert_eq!(sent, parts[..16], "as many as a caller has under way");
+    assert_eq!(sent, parts[..16], "as many as a caller has in flight");
 }
 
-/// The agent that an opening is offered to first.
+/// The agent that a new flow is offered to first.
 fn first_offered(balancer: &mut CarriedBalancer, port: u16) -> SocketAddrV4 {
     balancer.handle_caller(milliseconds(1), &packet(&opening(port)));
     offers(&outputs_of(balancer))[0].0
 }
 
 #[test]
-fn wherever_one_balancer_places_a_flow_another_one_asks_first() {
+fn the_first_questions_include_the_agent_with_which_another_balancer_placed_the_flow() {
     const AGENTS: u8 = 200;
-    let mut places = acquainted(AGENTS);
+    let mut places = informed_balancer(AGENTS);
     for port in 1..=100 {
         let placed_at = first_offered(&mut places, port);
-        let mut searches = acquainted(AGENTS);
+        let mut searches = informed_balancer(AGENTS);
         searches.handle_caller(milliseconds(1), &packet(&data(port, 101, 501)));
         searches.handle_timeout(milliseconds(1));
         let first_batch = asked(&outputs_of(&mut searches));
@@ -426,7 +426,7 @@
 }
 
 #[test]
-fn where_there_are_too_many_to_ask_nobody_is_told_and_questions_stay_bounded() {
+fn with_too_many_agents_no_caller_is_reset_and_questions_are_bounded() {
     let mut balancer = new_balancer(1);
     let agent = |number: u16| {
         let [high, low] = number.to_be_bytes();
@@ -446,8 +446,8 @@
 
 #[test]
 fn questions_about_many_flows_share_their_messages() {
-    let mut balancer = acquainted(3);
-    // The first goes out at once, the others wait for the next round.
+    let mut balancer = informed_balancer(3);
+    // The first question is sent at once; the others wait for the next batch.
     receive(&mut balancer, milliseconds(1), &data(1_000, 101, 501));
     for port in 1..=100 {
         balancer.handle_caller(milliseconds(3), &packet(&data(port, 101, 501)));
@@ -456,7 +456,7 @@
     assert_eq!(asked(&outputs_of(&mut balancer)), []);
     balancer.handle_timeout(milliseconds(5));
     let outputs = outputs_of(&mut balancer);
-    assert_eq!(asked(&outputs).len(), 6, "two messages an agent");
+    assert_eq!(asked(&outputs).len(), 6, "two messages per agent");
     for output in outputs {
         if let Output::ToPeer { message, .. } = output {
             assert!(message.encode().len() <= loftdrift_carried::MAX_MESSAGE_BYTES);
@@ -466,7 +466,7 @@
 
 #[test]
 fn back_ends_of_agents_that_may_have_forgotten_are_tried_a_few_at_a_time() {
-    let mut balancer = acquainted(12);
+    let mut balancer = informed_balancer(12);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(Word::Unsure));
     let first = tried(&outputs);
@@ -475,7 +475,7 @@
     let mut all = 0;
     while let Some(agent) = open.pop() {
         all += 1;
-        let outputs = say(&mut balancer, milliseconds(5), agent, Word::Absent);
+        let outputs = answer(&mut balancer, milliseconds(5), agent, Word::Absent);
         assert_eq!(resets(&outputs), usize::from(all == 12), "after {all}");
         open.extend(tried(&outputs));
     }
--- a/crates/carried/tests/repair.rs
+++ b/crates/carried/tests/lookups_after_restart.rs
@@ -1,4 +1,5 @@
-//! Searches after a loss: what they may take of a process, and what a loss of all power settles.
+//! Lookups after restarts: their limit in a delayed process, and what follows from a power loss of
+//! the whole system.
 
 mod support;
 
@@ -22,12 +23,12 @@
     }
 }
 
-/// A balancer that has read the list of nodes and heard all agents of `report` at 100 ms.
-fn hearing(report: impl Fn(u8) -> LoadReport) -> CarriedBalancer {
+/// A balancer that has read the list of nodes and has received each agent's `report` at 100 ms.
+fn balancer_hearing(report: impl Fn(u8) -> LoadReport) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     let list: Vec<_> = (1..=AGENTS).map(|agent| (agent_address(agent), NodeRole::Agent)).collect();
     balancer.learn_members(milliseconds(0), &list);
-    serve(&mut balancer, 0, 100);
+    run_timers(&mut balancer, 0, 100);
     for agent in 1..=AGENTS {
         tell(&mut balancer, milliseconds(100), agent, report(agent));
     }
@@ -35,8 +36,8 @@
     balancer
 }
 
-/// Serves timers when they are due.
-fn serve(balancer: &mut CarriedBalancer, from: u64, to: u64) {
+/// Runs timers every millisecond, so that none is late.
+fn run_timers(balancer: &mut CarriedBalancer, from: u64, to: u64) {
     (from..=to).for_each(|at| balancer.handle_timeout(milliseconds(at)));
 }
 
@@ -44,18 +45,18 @@
     data(port, 101, 501)
 }
 
-fn word_of(port: u16, up_ms: u32, word: Word) -> Vec<u8> {
+fn encoded_answer(port: u16, up_ms: u32, word: Word) -> Vec<u8> {
     Message::Found { up_ms, words: vec![FlowWord { flow: flow_named(port), word }] }.encode()
 }
 
-/// Has every agent that is asked for a flow say the same; gives all outputs.
-fn say_all(balancer: &mut CarriedBalancer, up_ms: u32, word: Word) -> Vec<Output> {
+/// Has every agent that is asked about a flow give the same answer, and returns all outputs.
+fn answer_all(balancer: &mut CarriedBalancer, up_ms: u32, word: Word) -> Vec<Output> {
     let mut all = Vec::new();
     for at in 101..160 {
         balancer.handle_timeout(milliseconds(at));
         let outputs = outputs_of(balancer);
         for agent in asked(&outputs) {
-            balancer.handle_peer(milliseconds(at), agent, &word_of(1, up_ms, word));
+            balancer.handle_peer(milliseconds(at), agent, &encoded_answer(1, up_ms, word));
         }
         all.extend(outputs);
     }
@@ -64,98 +65,99 @@
 }
 
 #[test]
-fn agents_that_have_forgotten_are_not_asked_what_they_cannot_know() {
-    let mut balancer = hearing(|_| load(FlowMemory::Partial, 60_000));
+fn agents_that_may_have_lost_flows_are_tried_without_a_question() {
+    let mut balancer = balancer_hearing(|_| load(FlowMemory::Partial, 60_000));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     balancer.handle_timeout(milliseconds(101));
     let outputs = outputs_of(&mut balancer);
-    assert_eq!(asked(&outputs), [], "each would be unsure");
-    assert_eq!(tried(&outputs).len(), 4, "the likeliest are tried at once");
+    assert_eq!(asked(&outputs), [], "each would answer that it is unsure");
+    assert_eq!(tried(&outputs).len(), 4, "the likeliest owners are tried at once");
 }
 
 #[test]
-fn after_a_loss_of_all_power_a_flow_of_before_is_told_to_be_over_without_a_trial() {
-    let mut balancer = hearing(|_| load(FlowMemory::Presumed, 90));
+fn after_a_power_loss_of_the_whole_system_a_caller_is_reset_without_a_trial() {
+    let mut balancer = balancer_hearing(|_| load(FlowMemory::Presumed, 90));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let outputs = say_all(&mut balancer, 95, Word::Unsure);
-    assert_eq!(tried(&outputs), [], "no back end of before lives");
+    let outputs = answer_all(&mut balancer, 95, Word::Unsure);
+    assert_eq!(tried(&outputs), [], "no back end from before is running");
     assert_eq!(resets(&outputs), 1);
 }
 
 #[test]
-fn processes_that_are_killed_together_beside_living_back_ends_are_no_loss_of_power() {
-    let mut balancer = hearing(|agent| match agent {
-        // One in five heard a regular heartbeat as soon as if the back end had just started.
+fn agents_killed_together_beside_running_back_ends_are_no_power_loss() {
+    let mut balancer = balancer_hearing(|agent| match agent {
+        // One in five received a regular heartbeat so early that its back end seems to have just
+        // started.
         1..=4 => load(FlowMemory::Presumed, 90),
         _ => load(FlowMemory::Partial, 90),
     });
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let outputs = say_all(&mut balancer, 95, Word::Unsure);
+    let outputs = answer_all(&mut balancer, 95, Word::Unsure);
     assert_eq!(resets(&outputs), 0);
-    assert!(!tried(&outputs).is_empty(), "back ends are to tell");
+    assert!(!tried(&outputs).is_empty(), "the back ends' reactions decide");
 }
 
 #[test]
-fn back_ends_that_restart_at_different_times_are_no_loss_of_power() {
+fn back_ends_that_restart_at_different_times_are_no_power_loss() {
     let up_ms = |agent: u8| 90 + 500 * u32::from(agent);
-    let mut balancer = hearing(|agent| load(FlowMemory::Presumed, up_ms(agent)));
+    let mut balancer = balancer_hearing(|agent| load(FlowMemory::Presumed, up_ms(agent)));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let outputs = say_all(&mut balancer, 95, Word::Unsure);
+    let outputs = answer_all(&mut balancer, 95, Word::Unsure);
     assert_eq!(resets(&outputs), 0);
 }
 
 #[test]
-fn an_agent_that_was_killed_once_more_after_the_loss_of_power_stays_unsure() {
-    let mut balancer = hearing(|_| load(FlowMemory::Presumed, 90));
-    // Three seconds later one process is replaced; balancers hold its earlier word.
-    serve(&mut balancer, 101, 3_100);
+fn an_agent_that_is_killed_again_after_the_power_loss_stays_unsure() {
+    let mut balancer = balancer_hearing(|_| load(FlowMemory::Presumed, 90));
+    // Three seconds later one agent's process is replaced; the balancer has its earlier report.
+    run_timers(&mut balancer, 101, 3_100);
     for agent in 1..=AGENTS {
         tell(&mut balancer, milliseconds(3_100), agent, load(FlowMemory::Presumed, 3_090));
     }
     let killed = agent_address(7);
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(3_101), &packet(&request(1)));
-    let mut told = 0;
+    let mut reset_count = 0;
     for at in 3_101..3_160 {
         balancer.handle_timeout(milliseconds(at));
         let outputs = outputs_of(&mut balancer);
-        told += resets(&outputs);
+        reset_count += resets(&outputs);
         for agent in asked(&outputs) {
             let up_ms = if agent == killed { 40 } else { 3_090 };
-            balancer.handle_peer(milliseconds(at), agent, &word_of(1, up_ms, Word::Unsure));
+            balancer.handle_peer(milliseconds(at), agent, &encoded_answer(1, up_ms, Word::Unsure));
         }
         assert!(tried(&outputs).iter().all(|agent| *agent == killed));
     }
-    assert_eq!(told, 0, "its back end may hold the flow");
+    assert_eq!(reset_count, 0, "its back end may have the flow");
 }
 
 #[test]
-fn a_machine_that_came_back_without_a_back_end_and_went_holds_up_no_answer() {
-    let mut balancer = hearing(|agent| match agent {
+fn a_machine_that_returned_without_a_back_end_and_left_does_not_block_a_lookup() {
+    let mut balancer = balancer_hearing(|agent| match agent {
         3 => LoadReport { condition: BackendCondition::Unknown, ..load(FlowMemory::Partial, 90) },
         _ => load(FlowMemory::Presumed, 90),
     });
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
-    let mut told = 0;
+    let mut reset_count = 0;
     for at in 101..180 {
         balancer.handle_timeout(milliseconds(at));
         let outputs = outputs_of(&mut balancer);
-        told += resets(&outputs);
+        reset_count += resets(&outputs);
         for agent in asked(&outputs).into_iter().filter(|agent| *agent != agent_address(3)) {
-            balancer.handle_peer(milliseconds(at), agent, &word_of(1, 95, Word::Unsure));
+            balancer.handle_peer(milliseconds(at), agent, &encoded_answer(1, 95, Word::Unsure));
         }
     }
-    assert_eq!(told, 1);
+    assert_eq!(reset_count, 1);
 }
 
-/// Load: every flow of a small balancer speaks within a second of its return, 150 a balancer on the
-/// users' largest site; nobody answers yet. Callers of new flows come in the same second. A process
-/// that runs late for its searches makes those wait, so it may begin few.
+/// After a restart every open flow sends packets within a second, 150 per balancer in the largest
+/// installation, while no agent answers yet. New flows arrive in the same second, and a process
+/// that is delayed by its lookups would make them wait, so it may start only a few lookups.
 #[test]
-fn a_process_that_runs_late_begins_few_searches_and_more_once_it_keeps_up() {
+fn a_delayed_process_starts_fewer_lookups() {
     let flows = 1_000;
-    let begun = |lateness_ms: u64| {
-        let mut balancer = hearing(|_| load(FlowMemory::Partial, 60_000));
+    let tried_flows = |delay_ms: u64| {
+        let mut balancer = balancer_hearing(|_| load(FlowMemory::Partial, 60_000));
         let mut at = 101;
         for port in 1..=flows {
             balancer.handle_caller(milliseconds(at), &packet(&request(port)));
@@ -163,7 +165,7 @@
         let mut flows_tried = std::collections::BTreeSet::new();
         while at < 1_101 {
             let due = balancer.next_timeout().unwrap_or_default();
-            at = at.max(due.as_millis() as u64 + lateness_ms).max(at + 1);
+            at = at.max(due.as_millis() as u64 + delay_ms).max(at + 1);
             balancer.handle_timeout(milliseconds(at));
             for output in outputs_of(&mut balancer) {
                 if let Output::ToPeer { message: Message::Try { datagram }, .. } = output {
@@ -173,16 +175,16 @@
         }
         (flows_tried.len(), balancer.counters(milliseconds(at)).lookup_window)
     };
-    let (in_calm, _) = begun(0);
-    let (when_late, window) = begun(40);
-    assert!(in_calm > 500, "{in_calm} of {flows}");
-    assert!(when_late < 300, "{when_late} of {flows}");
+    let (tried_on_time, _) = tried_flows(0);
+    let (tried_when_delayed, window) = tried_flows(40);
+    assert!(tried_on_time > 500, "{tried_on_time} of {flows}");
+    assert!(tried_when_delayed < 300, "{tried_when_delayed} of {flows}");
     assert!((4..=16).contains(&window), "{window}");
 }
 
 #[test]
-fn flows_whose_callers_wait_are_searched_for_first() {
-    let mut balancer = hearing(|_| load(FlowMemory::Whole, 60_000));
+fn lookups_whose_callers_wait_for_an_answer_start_first() {
+    let mut balancer = balancer_hearing(|_| load(FlowMemory::Whole, 60_000));
     let silent = |port| Segment { payload_bytes: 0, ..request(port) };
     (1..=300).for_each(|port| {
         balancer.handle_caller(milliseconds(101), &packet(&silent(port)));
@@ -199,14 +201,15 @@
     }
     order.dedup();
     let place = |port| order.iter().position(|asked| *asked == port).expect("asked for");
-    assert!(place(900) < place(300), "it overtakes those that began to wait before it");
+    assert!(place(900) < place(300), "it starts before lookups that were added earlier");
 }
 
 fn heartbeat(sequence: u64, warm_up_left: u64) -> BackendReport {
     BackendReport { warm_up_left: milliseconds(warm_up_left), ..report("one", sequence, true) }
 }
 
-/// What an agent of this back end says of its memory to a balancer that greets it.
+/// The flow memory that an agent reports, which received `heard` from its back end `started_ms`
+/// after its own start.
 fn memory_after(started_ms: u64, heard: &BackendReport) -> FlowMemory {
     let mut agent = agent(false);
     agent.take_report(milliseconds(started_ms), heard);
@@ -229,13 +232,21 @@
     let first = heartbeat(1, 2_000);
     assert_eq!(memory_after(900, &first), FlowMemory::Whole, "the very first heartbeat");
     assert_eq!(memory_after(40, &heartbeat(2, 1_950)), FlowMemory::Presumed);
-    assert_eq!(memory_after(40, &heartbeat(2, 0)), FlowMemory::Partial, "warm: it has run before");
-    assert_eq!(memory_after(40, &heartbeat(9, 500)), FlowMemory::Partial, "not its first ones");
+    assert_eq!(
+        memory_after(40, &heartbeat(2, 0)),
+        FlowMemory::Partial,
+        "warm: it has been running before"
+    );
+    assert_eq!(
+        memory_after(40, &heartbeat(9, 500)),
+        FlowMemory::Partial,
+        "not one of its first heartbeats"
+    );
     assert_eq!(memory_after(900, &heartbeat(2, 1_950)), FlowMemory::Partial, "heard late");
 }
 
 #[test]
-fn words_tell_how_long_the_agent_has_run() {
+fn answers_report_how_long_the_agent_has_run() {
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
     agent.handle_peer(milliseconds(250), balancer_address(), &find(1, 501));
@@ -248,11 +259,11 @@
     assert_eq!(ages, [250]);
 }
 
-/// Longest time until an agent beside no back end has said so: callers give a flow up after 1.4 s.
-const NOBODY_WITHIN: Duration = Duration::from_millis(1_000);
+/// Maximum time until an agent without a back end reports that: callers give a flow up after 1.4 s.
+const MAX_DETECTION_TIME: Duration = Duration::from_millis(1_000);
 
 #[test]
-fn an_agent_whose_back_end_answers_nothing_says_that_it_has_ended() {
+fn an_agent_whose_back_end_answers_no_probe_reports_that_it_has_ended() {
     let mut agent = agent(false);
     let mut at = 0;
     for _ in 0..4 {
@@ -261,22 +272,22 @@
                 agent.handle_timeout(milliseconds(*at));
                 outputs(&mut agent).contains(&Output::ProbeBackend)
             })
-            .expect("it asks until it knows");
+            .expect("it probes until it knows");
         assert!(!agent.has_ended());
-        // A question without an answer takes 150 ms.
+        // An unanswered probe takes 150 ms.
         at += 150;
         agent.take_probe(milliseconds(at), loftdrift_carried::ProbeOutcome::Unanswered);
     }
     assert!(agent.has_ended());
-    assert!(milliseconds(at) <= NOBODY_WITHIN, "{at} ms");
+    assert!(milliseconds(at) <= MAX_DETECTION_TIME, "{at} ms");
     agent.handle_peer(milliseconds(at), balancer_address(), &find(1, 501));
     assert!(outputs(&mut agent).contains(&says(1, Word::Absent)));
     agent.take_report(milliseconds(at + 1), &report("two", 1, true));
-    assert!(!agent.has_ended(), "one that starts later is taken");
+    assert!(!agent.has_ended(), "a back end that starts later is accepted");
 }
 
 #[test]
-fn a_back_end_that_was_heard_is_not_ended_by_questions_without_answers() {
+fn a_back_end_that_was_heard_is_not_ended_by_unanswered_probes() {
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
     agent.start_draining(milliseconds(10));
--- a/crates/carried/tests/recovery.rs
+++ b/crates/carried/tests/recovery.rs
@@ -1,4 +1,5 @@
-//! A service that comes back: what was asked while it was away comes all at once.
+//! Overload after the recovery of a service: the requests made during its outage arrive all at
+//! once.
 
 mod support;
 
@@ -10,10 +11,10 @@
 use std::time::Duration;
 use support::*;
 
-/// Agents, each with four slots.
+/// Number of agents, each of whose back ends has four slots.
 const AGENTS: u8 = 3;
 
-fn full() -> LoadReport {
+fn full_report() -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
@@ -24,9 +25,9 @@
     }
 }
 
-/// A balancer that has just started; its agents have just come and are full.
+/// A balancer that has just started and whose agents have just appeared and are full.
 fn balancer() -> CarriedBalancer {
-    meet_agents(configured(Policies::default()))
+    with_agents(configured(Policies::default()))
 }
 
 fn configured(policies: Policies) -> CarriedBalancer {
@@ -36,22 +37,22 @@
     balancer
 }
 
-/// The same, whose flows are offered as often as they like.
+/// The same balancer without a limit on repeated offers.
 fn balancer_without_budget() -> CarriedBalancer {
     let policies = Policies::default().without(Policy::OfferBudget);
-    meet_agents(configured(policies))
+    with_agents(configured(policies))
 }
 
-fn meet_agents(mut balancer: CarriedBalancer) -> CarriedBalancer {
+fn with_agents(mut balancer: CarriedBalancer) -> CarriedBalancer {
     for agent in 1..=AGENTS {
-        tell(&mut balancer, milliseconds(0), agent, full());
+        tell(&mut balancer, milliseconds(0), agent, full_report());
     }
     outputs_of(&mut balancer);
     balancer
 }
 
-/// Has every offer declined until none is made; tells the admissions asked for and whether a caller
-/// was reset.
+/// Declines every offer until no more are made. Returns the requested admissions and the number of
+/// callers reset.
 fn decline_all(balancer: &mut CarriedBalancer, now: Duration) -> (Vec<Admission>, usize) {
     let (mut asked, mut resets) = (Vec::new(), 0);
     loop {
@@ -64,7 +65,7 @@
         for (to, number, admission) in made {
             asked.push(admission);
             let reason = DeclineReason::Busy;
-            let message = Message::Declined { number, reason, report: full() };
+            let message = Message::Declined { number, reason, report: full_report() };
             balancer.handle_peer(now, to, &message.encode());
         }
     }
@@ -80,22 +81,25 @@
 }
 
 #[test]
-fn a_flow_that_is_late_goes_to_a_line_and_takes_no_slot_from_one_that_is_not() {
+fn a_late_flow_goes_to_a_wait_queue_and_takes_no_slot_from_a_timely_one() {
     let mut balancer = balancer();
-    let copy = Segment { acknowledgement: 1, ..opening(1) };
-    balancer.handle_caller(milliseconds(20), &packet(&copy));
+    let retransmission = Segment { acknowledgement: 1, ..opening(1) };
+    balancer.handle_caller(milliseconds(20), &packet(&retransmission));
     balancer.handle_timeout(milliseconds(40));
     let (asked, _) = decline_all(&mut balancer, milliseconds(41));
     assert!(!asked.is_empty());
-    let is_late_line =
+    let is_late_wait_queue =
         |admission: &Admission| matches!(admission, Admission::Line { within_ms: 0, .. });
-    assert!(asked.iter().all(is_late_line), "{asked:?}");
+    assert!(asked.iter().all(is_late_wait_queue), "{asked:?}");
 }
 
-/// A caller's opening packet comes; agents decline after `decline_after` ms each, and say nothing when
-/// they are asked for a place in their lines. Tells when the last offer was made, and when the caller
+/// Delivers a SYN. Agents decline offers after `decline_after` ms each, but do not answer when
+/// asked for a place in their wait queue. Returns when the last offer was made and when the caller
 /// was reset.
-fn fall_silent(decline_after: u64, has_copy: bool) -> (Duration, Option<Duration>) {
+fn run_with_silent_wait_queues(
+    decline_after: u64,
+    has_retransmission: bool,
+) -> (Duration, Option<Duration>) {
     let mut balancer = balancer();
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
     let (mut last_offer, mut reset_at) = (Duration::ZERO, None);
@@ -103,9 +107,9 @@
     for at in 1..700 {
         let now = milliseconds(at);
         balancer.handle_timeout(now);
-        if at == 201 && has_copy {
-            let copy = Segment { acknowledgement: 1, ..opening(1) };
-            balancer.handle_caller(now, &packet(&copy));
+        if at == 201 && has_retransmission {
+            let retransmission = Segment { acknowledgement: 1, ..opening(1) };
+            balancer.handle_caller(now, &packet(&retransmission));
         }
         for output in outputs_of(&mut balancer) {
             if matches!(output, Output::ToCaller { .. }) {
@@ -118,7 +122,8 @@
             }
         }
         for (_, to, number) in declines.extract_if(.., |(due, ..)| *due <= at) {
-            let message = Message::Declined { number, reason: DeclineReason::Busy, report: full() };
+            let message =
+                Message::Declined { number, reason: DeclineReason::Busy, report: full_report() };
             balancer.handle_peer(now, to, &message.encode());
         }
     }
@@ -127,46 +132,50 @@
 }
 
 #[test]
-fn a_caller_is_reset_once_no_silent_line_can_have_placed_its_flow() {
-    let (last_offer, reset_at) = fall_silent(1, true);
-    let reset_at = reset_at.expect("its copies' time is not over yet");
+fn a_caller_is_reset_once_no_silent_agent_can_have_placed_its_flow() {
+    let (last_offer, reset_at) = run_with_silent_wait_queues(1, true);
+    let reset_at =
+        reset_at.expect("the time in which it may be reset after its retransmission is not over");
     assert!(reset_at >= last_offer + milliseconds(130), "{last_offer:?} {reset_at:?}");
-    assert!(reset_at <= milliseconds(201 + 360), "a caller repeats its packet soon: {reset_at:?}");
+    assert!(
+        reset_at <= milliseconds(201 + 360),
+        "the caller retransmits its SYN soon: {reset_at:?}"
+    );
 }
 
 #[test]
-fn a_caller_is_not_reset_when_its_copy_may_have_gone_elsewhere_meanwhile() {
-    let (last_offer, reset_at) = fall_silent(25, false);
+fn a_caller_is_not_reset_if_its_retransmission_may_have_reached_another_balancer() {
+    let (last_offer, reset_at) = run_with_silent_wait_queues(25, false);
     assert!(last_offer > milliseconds(61), "{last_offer:?}");
     assert_eq!(
         reset_at, None,
-        "its next copy, at 200 ms, may open the flow through another balancer"
+        "its retransmission at 200 ms may open the flow through another balancer"
     );
 }
 
-/// Offers made for flows that come one each two milliseconds and are all declined.
+/// Counts the offers made for flows that arrive every two milliseconds and are all declined.
 fn offers_in_overload(mut balancer: CarriedBalancer, flows: u16) -> usize {
     let mut made = 0;
     for port in 1..=flows {
         let now = milliseconds(2_000 + 2 * u64::from(port));
         for agent in 1..=AGENTS {
-            tell(&mut balancer, now, agent, full());
+            tell(&mut balancer, now, agent, full_report());
         }
         balancer.handle_timeout(now);
         balancer.handle_caller(now, &packet(&opening(port)));
-        // Full agents are asked for a place in their queue.
+        // Agents known to be full are asked for a place in their queue.
         made += decline_all(&mut balancer, now).0.len();
     }
     made
 }
 
 #[test]
-fn in_overload_a_flow_is_offered_twice_and_not_to_everybody() {
+fn in_overload_a_flow_is_offered_about_twice_and_not_to_every_agent() {
     let flows = 400;
     let without = offers_in_overload(balancer_without_budget(), flows);
     assert!(without >= 3 * usize::from(flows), "{without}");
     let within = offers_in_overload(balancer(), flows);
-    // Two for each flow, and what was saved and earned in 0.8 s.
+    // Two offers for each flow, and the retry budget that was saved up and earned within 0.8 s.
     assert!(within <= 2 * usize::from(flows) + 50, "{within}");
     assert!(within >= usize::from(flows), "{within}");
 }
--- a/crates/carried/tests/lateness.rs
+++ b/crates/carried/tests/scheduling_delay.rs
@@ -1,4 +1,4 @@
-//! A balancer that gets too little of its processor blames nobody else for it.
+//! A balancer that gets too little processor time does not take live agents to be silent.
 
 mod support;
 
@@ -11,12 +11,12 @@
 use support::*;
 
 const AGENTS: u8 = 12;
-/// New flows in a turn.
-const FLOWS: u16 = 3;
-/// An agent answers within this time.
-const ANSWERS_AFTER: Duration = Duration::from_millis(3);
+/// New flows in each loop iteration.
+const FLOWS_PER_TURN: u16 = 3;
+/// Time until an agent answers an offer.
+const ANSWER_DELAY: Duration = Duration::from_millis(3);
 
-fn idle() -> LoadReport {
+fn idle_report() -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
@@ -31,17 +31,17 @@
     let mut balancer = CarriedBalancer::new(settings, PlainFormat);
     balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
     for agent in 1..=AGENTS {
-        tell(&mut balancer, milliseconds(0), agent, idle());
+        tell(&mut balancer, milliseconds(0), agent, idle_report());
     }
     balancer.handle_timeout(milliseconds(0));
     outputs_of(&mut balancer);
     balancer
 }
 
-/// Plays three seconds in which the balancer has a turn each `turn` only: new flows come, living
-/// agents answer at once, and in each turn it reads `reads` answers, serves its timers, and takes the
-/// flows that came. Gives how many agents it suspected and how many flows it reset.
-fn play(balancer: &mut CarriedBalancer, turn: Duration, reads: usize) -> (u64, u64) {
+/// Simulates three seconds in which the balancer's event loop runs only once every `turn`, while
+/// live agents answer promptly. In each iteration it reads up to `reads` answers, runs its timers,
+/// and handles new flows. Returns how many suspicions it raised and how many callers it reset.
+fn simulate(balancer: &mut CarriedBalancer, turn: Duration, reads: usize) -> (u64, u64) {
     let mut waiting: Vec<(Duration, SocketAddrV4, u64)> = Vec::new();
     let (mut now, mut resets, mut port) = (milliseconds(10), 0, 0);
     while now < milliseconds(3_000) {
@@ -50,18 +50,18 @@
             waiting.iter().filter(|(at, ..)| *at <= now).take(reads).copied().collect();
         waiting.retain(|answer| !ready.contains(answer));
         for (_, agent, number) in ready {
-            let placed = Message::Placed { number, report: idle() };
+            let placed = Message::Placed { number, report: idle_report() };
             balancer.handle_peer(now, agent, &placed.encode());
         }
         balancer.handle_timeout(now);
-        for _ in 0..FLOWS {
+        for _ in 0..FLOWS_PER_TURN {
             port += 1;
             balancer.handle_caller(now, &packet(&opening(port)));
         }
         for output in outputs_of(balancer) {
             match output {
                 Output::ToPeer { to, message: Message::Offer { number, .. } } => {
-                    waiting.push((now + ANSWERS_AFTER, to, number));
+                    waiting.push((now + ANSWER_DELAY, to, number));
                 }
                 Output::ToCaller { .. } => resets += 1,
                 _ => {}
@@ -72,23 +72,24 @@
 }
 
 #[test]
-fn a_starved_balancer_among_living_agents_suspects_and_resets_nobody() {
+fn a_starved_balancer_suspects_no_live_agent_and_resets_no_caller() {
     for turn in [60, 150, 400] {
-        // It reads one answer a turn, so that some wait for a turn or two.
-        let (suspected, resets) = play(&mut balancer(Policies::default()), milliseconds(turn), 1);
+        // It reads one answer in each iteration, so that some wait for one or two iterations.
+        let (suspected, resets) =
+            simulate(&mut balancer(Policies::default()), milliseconds(turn), 1);
         assert_eq!((suspected, resets), (0, 0), "turns of {turn} ms");
     }
 }
 
 #[test]
-fn without_its_own_lateness_it_suspects_living_agents() {
+fn without_the_policy_a_starved_balancer_suspects_live_agents() {
     let policies = Policies::default().without(Policy::OwnLateness);
-    let (suspected, resets) = play(&mut balancer(policies), milliseconds(60), 2);
+    let (suspected, resets) = simulate(&mut balancer(policies), milliseconds(60), 2);
     assert!(suspected > 0, "{suspected} {resets}");
 }
 
 #[test]
-fn an_agent_that_is_silent_in_calm_is_still_suspected_soon() {
+fn a_balancer_that_is_not_delayed_still_suspects_a_silent_agent() {
     let mut balancer = balancer(Policies::default());
     let mut now = milliseconds(10);
     for port in 1..=60 {
--- a/crates/carried/tests/store_watch.rs
+++ b/crates/carried/tests/store_watch.rs
@@ -1,4 +1,4 @@
-//! A few balancers of each zone wait at the shared store; the others hear of it from them.
+//! A few balancers of each zone watch the shared store; the others learn of changes from them.
 
 mod support;
 
@@ -24,7 +24,7 @@
     SocketAddrV4::new([10, 1, 0, number].into(), 7720)
 }
 
-fn hear(
+fn receive(
     balancer: &mut CarriedBalancer,
     now: Duration,
     number: u8,
@@ -35,20 +35,21 @@
     balancer.handle_peer(now, balancer_number(number), &heartbeat.encode());
 }
 
-/// The same while the balancers before `number` of one zone go on saying that they live.
-fn readings_beside(balancer: &mut CarriedBalancer, number: u8, from: u64, to: u64) -> Vec<u64> {
+/// Like [`store_reads`], while the balancers of the zone with lower numbers go on sending
+/// heartbeats.
+fn reads_among_peers(balancer: &mut CarriedBalancer, number: u8, from: u64, to: u64) -> Vec<u64> {
     let mut made = Vec::new();
     for at in (from..to).step_by(1_000) {
         for peer in 1..number {
-            hear(balancer, milliseconds(at), peer, "a", None);
+            receive(balancer, milliseconds(at), peer, "a", None);
         }
-        made.extend(readings(balancer, at, to.min(at + 1_000)));
+        made.extend(store_reads(balancer, at, to.min(at + 1_000)));
     }
     made
 }
 
-/// Does what is due until `to`; when the store is to be read, the moments of that.
-fn readings(balancer: &mut CarriedBalancer, from: u64, to: u64) -> Vec<u64> {
+/// Runs timers until `to` and returns the times at which the store is to be read.
+fn store_reads(balancer: &mut CarriedBalancer, from: u64, to: u64) -> Vec<u64> {
     let mut made = Vec::new();
     for at in (from..to).step_by(10) {
         balancer.handle_timeout(milliseconds(at));
@@ -58,46 +59,50 @@
     made
 }
 
-/// Which of `zones` (a zone for each balancer, by number) wait at the store.
+/// Indices of the balancers that watch the store, where `zones` holds each balancer's zone.
 fn watchers(zones: &[&str]) -> Vec<usize> {
-    let waits = |number: &usize| {
+    let watches = |number: &usize| {
         let mut balancer = balancer_at(*number as u8 + 1, zones[*number]);
         for (peer, zone) in zones.iter().enumerate().filter(|(peer, _)| peer != number) {
-            hear(&mut balancer, milliseconds(100), peer as u8 + 1, zone, None);
+            receive(&mut balancer, milliseconds(100), peer as u8 + 1, zone, None);
         }
-        readings(&mut balancer, 100, 2_000);
+        store_reads(&mut balancer, 100, 2_000);
         balancer.watches_store(milliseconds(2_000))
     };
-    (0..zones.len()).filter(waits).collect()
+    (0..zones.len()).filter(watches).collect()
 }
 
 #[test]
-fn six_of_one_zone_wait_and_two_of_each_of_many() {
-    assert_eq!(watchers(&["a"; 4]), [0, 1, 2, 3], "a small system has all of them wait");
+fn six_balancers_of_one_zone_watch_or_two_of_each_of_five_zones() {
+    assert_eq!(watchers(&["a"; 4]), [0, 1, 2, 3], "in a small system all of them watch");
     assert_eq!(watchers(&["a"; 20]), [0, 1, 2, 3, 4, 5]);
     let zones: Vec<&str> = (0..40).map(|number| ["a", "b", "c", "d", "e"][number % 5]).collect();
     assert_eq!(watchers(&zones), (0..10).collect::<Vec<_>>());
 }
 
-/// Of a thousand that start together and know nobody yet all would take themselves for the first.
+/// Otherwise each of a thousand balancers that start together without knowing any other would rank
+/// itself first.
 #[test]
-fn a_balancer_that_has_not_read_who_there_is_waits_for_nothing_for_five_seconds() {
+fn a_balancer_without_the_list_of_nodes_watches_only_after_five_seconds() {
     let mut balancer = new_balancer(1);
-    assert_eq!(readings(&mut balancer, 0, 4_900), []);
+    assert_eq!(store_reads(&mut balancer, 0, 4_900), []);
     assert!(!balancer.watches_store(milliseconds(4_900)));
-    readings(&mut balancer, 4_900, 5_600);
-    assert!(balancer.watches_store(milliseconds(5_600)), "the store may have refused it the list");
+    store_reads(&mut balancer, 4_900, 5_600);
+    assert!(
+        balancer.watches_store(milliseconds(5_600)),
+        "the store may have refused to return the list"
+    );
     let mut with_list = new_balancer(1);
     with_list.learn_members(milliseconds(500), &[]);
-    readings(&mut with_list, 500, 1_100);
+    store_reads(&mut with_list, 500, 1_100);
     assert!(with_list.watches_store(milliseconds(1_100)));
 }
 
 #[test]
-fn those_with_the_fastest_links_wait_first() {
-    // By address the first twelve are slow.
+fn balancers_with_the_fastest_links_watch_first() {
+    // The twelve balancers with the lowest addresses have slow links.
     let link = |number: u8| if number > 12 { 200 } else { 10 };
-    let waits = |number: &u8| {
+    let watches = |number: &u8| {
         let mut settings = balancer_settings(1);
         settings.node.address = balancer_number(*number);
         settings.node.link_mbps = link(*number);
@@ -109,29 +114,30 @@
             let message = Message::Heartbeat(heartbeat).encode();
             balancer.handle_peer(milliseconds(100), balancer_number(peer), &message);
         }
-        readings(&mut balancer, 100, 2_000);
+        store_reads(&mut balancer, 100, 2_000);
         balancer.watches_store(milliseconds(2_000))
     };
-    assert_eq!((1..=20).filter(waits).collect::<Vec<_>>(), (13..=18).collect::<Vec<_>>());
+    assert_eq!((1..=20).filter(watches).collect::<Vec<_>>(), (13..=18).collect::<Vec<_>>());
 }
 
 #[test]
-fn a_heartbeat_takes_no_more_bytes_than_its_interval_is_reckoned_with() {
-    assert!(heartbeat_bytes(None) <= 106, "{} are reckoned with", heartbeat_bytes(None));
-    // 3,300 a second, and as many received, while every process is young.
-    let young = heartbeat_bytes(Some(59_999));
-    assert!(young * 3_300 * 2 / 106 <= 7_000, "{young}");
+fn a_heartbeat_is_no_larger_than_its_interval_assumes() {
+    assert!(heartbeat_bytes(None) <= 106, "{} are assumed", heartbeat_bytes(None));
+    // 3,300 heartbeats a second are sent, and as many received, while every process has just
+    // started.
+    let young_bytes = heartbeat_bytes(Some(59_999));
+    assert!(young_bytes * 3_300 * 2 / 106 <= 7_000, "{young_bytes}");
 }
 
-/// Bytes of a long heartbeat, addresses included, of an agent that has run for so many milliseconds
-/// with its back end, or for long.
-fn heartbeat_bytes(young_ms: Option<u32>) -> usize {
+/// Size of a heartbeat with long fields, headers included, of an agent that started `uptime_ms` ago
+/// together with its back end, or long ago if that is `None`.
+fn heartbeat_bytes(uptime_ms: Option<u32>) -> usize {
     let load = LoadReport {
         service: "service-a".to_owned(),
         work_us: 40_000,
         measured_ms_ago: 5_000,
-        begun_ms_ago: young_ms,
-        up_ms: young_ms,
+        begun_ms_ago: uptime_ms,
+        up_ms: uptime_ms,
         in_line: 200,
         ..LoadReport::default()
     };
@@ -148,59 +154,61 @@
         report: Some(load),
         ..heartbeat_of("", None, 3)
     };
-    // Heads of UDP and IP take 28 bytes.
+    // The UDP and IP headers take 28 bytes.
     Message::Heartbeat(heartbeat).encode().len() + 28
 }
 
 #[test]
-fn a_balancer_that_is_the_only_one_heard_waits() {
+fn the_only_known_balancer_watches() {
     assert_eq!(watchers(&["a"]), [0]);
 }
 
 #[test]
-fn whoever_does_not_wait_reads_for_itself_when_nobody_tells_of_the_store() {
+fn a_balancer_that_does_not_watch_reads_the_store_itself_without_confirmations() {
     let mut last = balancer_at(20, "a");
-    let made = readings_beside(&mut last, 20, 100, 14_000);
-    // A second of silence, then its turn: 19 of 50 ms each; within the bound of 3 s, and each 3 s.
+    let made = reads_among_peers(&mut last, 20, 100, 14_000);
+    // It reads after one second without a confirmation and 19 turns of 50 ms each, which is within
+    // the bound of 3 s, and then every 3 s.
     assert_eq!(made.first(), Some(&1_950), "{made:?}");
     assert_eq!(made.len(), 5, "{made:?}");
     last.note_store(milliseconds(14_000), true);
-    let made = readings_beside(&mut last, 20, 14_000, 15_500);
-    assert_eq!(made, [], "the store has answered it");
+    let made = reads_among_peers(&mut last, 20, 14_000, 15_500);
+    assert_eq!(made, [], "the store has answered its read");
 }
 
-/// When one of four balancers, which all wait at the store, reads for itself after the store's last word.
-fn readings_of_watchers(number: u8) -> Vec<u64> {
+/// When one of four balancers, which all watch the store, reads it itself after the store's last
+/// answer.
+fn reads_of_watcher(number: u8) -> Vec<u64> {
     let mut balancer = balancer_at(number, "a");
     let others = |balancer: &mut CarriedBalancer, at: u64| {
         for peer in (1..=4).filter(|peer| *peer != number) {
-            hear(balancer, milliseconds(at), peer, "a", None);
+            receive(balancer, milliseconds(at), peer, "a", None);
         }
     };
     others(&mut balancer, 100);
-    readings(&mut balancer, 100, 2_000);
+    store_reads(&mut balancer, 100, 2_000);
     assert!(balancer.watches_store(milliseconds(2_000)));
     balancer.note_store(milliseconds(2_000), true);
     let mut made = Vec::new();
     for at in (2_000..9_000).step_by(1_000) {
         others(&mut balancer, at);
-        made.extend(readings(&mut balancer, at, at + 1_000));
+        made.extend(store_reads(&mut balancer, at, at + 1_000));
     }
     made
 }
 
 #[test]
-fn a_balancer_whose_wait_at_the_store_hangs_reads_for_itself_in_time() {
+fn a_balancer_whose_watch_hangs_reads_the_store_itself_in_time() {
     for number in [1, 4] {
-        let made = readings_of_watchers(number);
+        let made = reads_of_watcher(number);
         let two_thirds = 2_000 + CONFIGURATION_BOUND.as_millis() as u64 * 2 / 3;
         assert!(made.first().is_some_and(|at| *at <= two_thirds), "{number}: {made:?}");
         assert!(made.len() <= 3, "{number}: {made:?}");
     }
 }
 
-/// The dead stand in the order for minutes, and the fleet may be of any size: whoever comes last must
-/// still have read in time.
+/// Dead balancers keep their rank for minutes, and there may be any number of balancers: the last
+/// one in turn must still read in time.
 #[test]
 fn the_last_of_any_number_of_balancers_reads_within_two_thirds_of_the_bound() {
     let third = CONFIGURATION_BOUND.as_millis() as u64 / 3;
@@ -218,54 +226,54 @@
             let heartbeat = Message::Heartbeat(heartbeat_of("a", None, 0));
             last.handle_peer(milliseconds(100), address(number), &heartbeat.encode());
         }
-        let made = readings(&mut last, 100, 3 * third);
+        let made = store_reads(&mut last, 100, 3 * third);
         let in_time = made.first().is_some_and(|at| *at <= 2 * third);
         assert!(in_time, "{balancers} balancers: {made:?}");
     }
 }
 
 #[test]
-fn a_confirmation_that_a_peer_tells_of_keeps_a_balancer_from_reading() {
+fn a_confirmation_from_a_peer_keeps_a_balancer_from_reading() {
     let mut last = balancer_at(20, "a");
     for number in 1..20 {
-        hear(&mut last, milliseconds(100), number, "a", None);
+        receive(&mut last, milliseconds(100), number, "a", None);
     }
     for at in (1_000..30_000).step_by(1_000) {
         let confirmation = Some(Confirmation { ms_ago: 500, hops: 3 });
-        hear(&mut last, milliseconds(at), 1, "a", confirmation);
-        assert_eq!(readings_beside(&mut last, 20, at, at + 1_000), []);
+        receive(&mut last, milliseconds(at), 1, "a", confirmation);
+        assert_eq!(reads_among_peers(&mut last, 20, at, at + 1_000), []);
     }
 }
 
 #[test]
-fn a_confirmation_grows_old_while_it_goes_round() {
+fn a_confirmation_ages_while_it_is_passed_around() {
     let mut nodes = [balancer_at(19, "a"), balancer_at(20, "a")];
     for balancer in &mut nodes {
         for number in 1..19 {
-            hear(balancer, milliseconds(100), number, "a", None);
+            receive(balancer, milliseconds(100), number, "a", None);
         }
     }
     let first = Some(Confirmation { ms_ago: 0, hops: 0 });
-    hear(&mut nodes[0], milliseconds(200), 1, "a", first);
+    receive(&mut nodes[0], milliseconds(200), 1, "a", first);
     let mut made = Vec::new();
-    // Both tell each other all the time, each message 20 ms on its way.
+    // Both balancers send heartbeats to each other all the time, each with a delay of 20 ms.
     for at in (200..6_000).step_by(20) {
         if at % 1_000 == 0 {
             for balancer in &mut nodes {
-                (1..19).for_each(|peer| hear(balancer, milliseconds(at), peer, "a", None));
+                (1..19).for_each(|peer| receive(balancer, milliseconds(at), peer, "a", None));
             }
         }
         for (from, to) in [(0, 1), (1, 0)] {
-            made.extend(readings(&mut nodes[from], at, at + 10));
-            let told = confirmation_told(&mut nodes[from], milliseconds(at));
-            hear(&mut nodes[to], milliseconds(at + 20), 19 + from as u8, "a", told);
+            made.extend(store_reads(&mut nodes[from], at, at + 10));
+            let sent = sent_confirmation(&mut nodes[from], milliseconds(at));
+            receive(&mut nodes[to], milliseconds(at + 20), 19 + from as u8, "a", sent);
         }
     }
-    // A second of silence and a turn of 0.9 s after the confirmation, and little more.
+    // Due one second after the confirmation plus a turn of 0.9 s; only a little more is allowed.
     assert!(made.first().is_some_and(|at| *at < 2_700), "{:?}", made.first());
 }
 
-fn confirmation_told(balancer: &mut CarriedBalancer, now: Duration) -> Option<Confirmation> {
+fn sent_confirmation(balancer: &mut CarriedBalancer, now: Duration) -> Option<Confirmation> {
     let wanted = Heartbeat { wants_reply: true, ..heartbeat_of("a", None, 0) };
     balancer.handle_peer(now, balancer_number(1), &Message::Heartbeat(wanted).encode());
     balancer.handle_timeout(now);
@@ -276,30 +284,30 @@
 }
 
 #[test]
-fn a_balancer_that_the_store_does_not_answer_rests_ever_longer() {
+fn a_balancer_that_the_store_does_not_answer_backs_off_with_growing_delays() {
     let mut balancer = balancer_at(1, "a");
     for number in 2..30 {
-        hear(&mut balancer, milliseconds(100), number, "b", None);
+        receive(&mut balancer, milliseconds(100), number, "b", None);
     }
-    readings(&mut balancer, 100, 2_000);
+    store_reads(&mut balancer, 100, 2_000);
     assert!(balancer.watches_store(milliseconds(2_000)));
     let mut now = 2_000;
-    let mut rests = Vec::new();
+    let mut backoffs = Vec::new();
     for _ in 0..8 {
         balancer.note_store(milliseconds(now), false);
         let began = now;
         while !balancer.watches_store(milliseconds(now)) {
             now += 10;
         }
-        rests.push(now - began);
+        backoffs.push(now - began);
     }
-    assert!(rests[0] <= 130, "{rests:?}");
-    assert!(rests.iter().all(|rest| *rest <= 7_500), "{rests:?}");
-    assert!(rests[7] > rests[0] * 8, "{rests:?}");
+    assert!(backoffs[0] <= 130, "{backoffs:?}");
+    assert!(backoffs.iter().all(|backoff| *backoff <= 7_500), "{backoffs:?}");
+    assert!(backoffs[7] > backoffs[0] * 8, "{backoffs:?}");
 }
 
 #[test]
-fn a_return_of_the_store_is_counted_once_and_told() {
+fn a_return_of_the_store_is_counted_once() {
     let mut balancer = balancer_at(1, "a");
     balancer.note_store(milliseconds(10), true);
     assert_eq!(balancer.store_returns(), 0);
@@ -308,10 +316,10 @@
     balancer.note_store(milliseconds(3_000), true);
     balancer.note_store(milliseconds(4_000), true);
     assert_eq!(balancer.store_returns(), 1);
-    // Another one has told of the return before this one's own call is answered.
+    // Another balancer reports the return before this one's own call is answered.
     balancer.note_store(milliseconds(5_000), false);
-    let told = Message::Heartbeat(heartbeat_of("a", None, 2));
-    balancer.handle_peer(milliseconds(5_500), balancer_number(2), &told.encode());
+    let sent = Message::Heartbeat(heartbeat_of("a", None, 2));
+    balancer.handle_peer(milliseconds(5_500), balancer_number(2), &sent.encode());
     balancer.note_store(milliseconds(6_000), true);
     assert_eq!(balancer.store_returns(), 2);
 }
--- a/crates/carried/tests/line_at_balancer.rs
+++ b/crates/carried/tests/wait_queue_at_balancer.rs
@@ -1,4 +1,5 @@
-//! What a balancer does with flows that nobody has room for, and with those of before any configuration.
+//! Flows for which no agent has room and which wait in an agent's wait queue, and flows that arrive
+//! before any configuration is known.
 
 mod support;
 
@@ -10,7 +11,7 @@
 use std::time::Duration;
 use support::*;
 
-/// Slots of each back end, as its report tells.
+/// Slots of each back end, as reported by its agent.
 const SLOTS: u16 = 4;
 
 fn load(waiting: u16) -> LoadReport {
@@ -33,7 +34,7 @@
     balancer
 }
 
-fn made(outputs: &[Output]) -> Option<(SocketAddrV4, u64, Admission)> {
+fn first_offer(outputs: &[Output]) -> Option<(SocketAddrV4, u64, Admission)> {
     outputs.iter().find_map(|output| match output {
         Output::ToPeer { to, message: Message::Offer { number, admission, .. } } => {
             Some((*to, *number, *admission))
@@ -46,13 +47,13 @@
     outputs.iter().filter(|output| matches!(output, Output::ToCaller { .. })).count()
 }
 
-/// Has offers declined until one asks for a place in a line; tells which one and whether a caller was
-/// reset.
-fn until_line(balancer: &mut CarriedBalancer, now: u64) -> (SocketAddrV4, u64, u16) {
+/// Declines offers until one asks for a place in a wait queue, and returns that one: its agent, its
+/// number, and the rest of the caller's attempt in milliseconds. No caller may be reset meanwhile.
+fn decline_until_wait_queue(balancer: &mut CarriedBalancer, now: u64) -> (SocketAddrV4, u64, u16) {
     loop {
         let outputs = outputs_of(balancer);
         assert_eq!(resets(&outputs), 0);
-        let (to, number, admission) = made(&outputs).expect("an offer");
+        let (to, number, admission) = first_offer(&outputs).expect("an offer");
         if let Admission::Line { patience_ms, .. } = admission {
             return (to, number, patience_ms);
         }
@@ -62,21 +63,22 @@
 }
 
 #[test]
-fn a_flow_that_nobody_has_room_for_waits_at_one_agent_and_its_caller_hears_nothing_false() {
+fn a_flow_without_room_waits_at_one_agent_and_its_caller_is_not_reset() {
     let mut balancer = balancer_with(3);
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
-    let (agent, number, patience) = until_line(&mut balancer, 2);
-    assert!((1_250..=1_320).contains(&patience), "{patience} of the 1.4 s of a try");
+    let (agent, number, patience) = decline_until_wait_queue(&mut balancer, 2);
+    assert!((1_250..=1_320).contains(&patience), "{patience} of the 1.4 s of an attempt");
     let queued = Message::Queued { number, report: load(8) };
     balancer.handle_peer(milliseconds(3), agent, &queued.encode());
     for at in 3..1_200 {
         balancer.handle_timeout(milliseconds(at));
         if at == 200 || at == 600 {
-            let copy = Segment { acknowledgement: (at / 200 + 1) as u32 / 2, ..opening(1) };
-            balancer.handle_caller(milliseconds(at), &packet(&copy));
+            let retransmission =
+                Segment { acknowledgement: (at / 200 + 1) as u32 / 2, ..opening(1) };
+            balancer.handle_caller(milliseconds(at), &packet(&retransmission));
         }
         let outputs = outputs_of(&mut balancer);
-        assert_eq!((made(&outputs), resets(&outputs)), (None, 0), "at {at}");
+        assert_eq!((first_offer(&outputs), resets(&outputs)), (None, 0), "at {at}");
         if at % 100 == 0 {
             (1..=3).for_each(|agent| tell(&mut balancer, milliseconds(at), agent, load(8)));
             outputs_of(&mut balancer);
@@ -88,52 +90,56 @@
 }
 
 #[test]
-fn a_flow_that_no_line_takes_is_refused_in_a_round_trip() {
+fn a_flow_that_no_wait_queue_accepts_is_refused_at_once() {
     let mut balancer = balancer_with(3);
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
     for at in [2, 3] {
-        let (agent, number, _) = until_line(&mut balancer, at);
+        let (agent, number, _) = decline_until_wait_queue(&mut balancer, at);
         let declined = Message::Declined { number, reason: DeclineReason::Busy, report: load(8) };
         balancer.handle_peer(milliseconds(at), agent, &declined.encode());
     }
-    assert_eq!(resets(&outputs_of(&mut balancer)), 1, "after two lines, at once");
+    assert_eq!(
+        resets(&outputs_of(&mut balancer)),
+        1,
+        "at once after two wait queues have declined"
+    );
 }
 
 #[test]
-fn a_flow_whose_agent_has_gone_is_offered_to_another_at_the_next_copy() {
+fn a_flow_whose_agent_is_suspect_is_offered_to_another_at_the_next_retransmission() {
     let mut balancer = balancer_with(3);
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
-    let (agent, number, _) = until_line(&mut balancer, 2);
+    let (agent, number, _) = decline_until_wait_queue(&mut balancer, 2);
     let queued = Message::Queued { number, report: load(8) };
     balancer.handle_peer(milliseconds(3), agent, &queued.encode());
-    // It is not heard any more; the others are.
+    // Only the other agents send reports from here on.
     for at in (100..=1_100).step_by(100) {
         for other in (1..=3).filter(|other| agent_address(*other) != agent) {
             tell(&mut balancer, milliseconds(at), other, load(8));
         }
     }
     outputs_of(&mut balancer);
-    let copy = Segment { acknowledgement: 2, ..opening(1) };
-    balancer.handle_caller(milliseconds(1_110), &packet(&copy));
-    let next = made(&outputs_of(&mut balancer)).expect("an offer").0;
+    let retransmission = Segment { acknowledgement: 2, ..opening(1) };
+    balancer.handle_caller(milliseconds(1_110), &packet(&retransmission));
+    let next = first_offer(&outputs_of(&mut balancer)).expect("an offer").0;
     assert_ne!(next, agent);
 }
 
 #[test]
-fn a_flow_whose_line_has_gone_is_offered_to_a_failing_back_end_as_the_last_resort() {
+fn a_flow_that_the_last_wait_queue_declines_is_offered_to_a_failing_back_end() {
     let mut balancer = new_balancer(1);
     tell(&mut balancer, milliseconds(0), 1, load(8));
     tell(&mut balancer, milliseconds(0), 2, failing());
     outputs_of(&mut balancer);
-    let copy = Segment { acknowledgement: 1, ..opening(1) };
-    balancer.handle_caller(milliseconds(1), &packet(&copy));
-    let (agent, number, _) = until_line(&mut balancer, 2);
+    let retransmission = Segment { acknowledgement: 1, ..opening(1) };
+    balancer.handle_caller(milliseconds(1), &packet(&retransmission));
+    let (agent, number, _) = decline_until_wait_queue(&mut balancer, 2);
     assert_eq!(agent, agent_address(1));
     let leaving = LoadReport { condition: BackendCondition::Leaving, ..load(8) };
     let reason = DeclineReason::NotAccepting;
     let declined = Message::Declined { number, reason, report: leaving };
     balancer.handle_peer(milliseconds(3), agent, &declined.encode());
-    let (to, _, admission) = made(&outputs_of(&mut balancer)).expect("an offer");
+    let (to, _, admission) = first_offer(&outputs_of(&mut balancer)).expect("an offer");
     assert_eq!(to, agent_address(2));
     assert!(matches!(admission, Admission::Failing(_)), "{admission:?}");
 }
@@ -142,7 +148,7 @@
     LoadReport { condition: BackendCondition::Failing, ..load(0) }
 }
 
-/// A balancer without any configuration that hears callers.
+/// A balancer that has no configuration yet.
 fn unconfigured() -> CarriedBalancer {
     CarriedBalancer::new(balancer_settings(1), PlainFormat)
 }
@@ -153,26 +159,26 @@
 }
 
 #[test]
-fn callers_that_asked_before_any_configuration_was_known_are_served_when_it_is() {
+fn callers_from_before_the_first_configuration_are_served_when_it_arrives() {
     let mut balancer = unconfigured();
-    for (at, copy) in [(100, 0), (300, 1), (700, 2)] {
-        let segment = Segment { acknowledgement: copy, ..opening(1) };
+    for (at, retransmission) in [(100, 0), (300, 1), (700, 2)] {
+        let segment = Segment { acknowledgement: retransmission, ..opening(1) };
         balancer.handle_caller(milliseconds(at), &packet(&segment));
         balancer.handle_timeout(milliseconds(at));
     }
-    assert_eq!(resets(&outputs_of(&mut balancer)), 0, "the route may be there");
+    assert_eq!(resets(&outputs_of(&mut balancer)), 0, "a route may be configured");
     configure(&mut balancer, 1_000);
     balancer.handle_timeout(milliseconds(1_000));
-    assert_eq!(made(&outputs_of(&mut balancer)), None, "no agent is known yet");
+    assert_eq!(first_offer(&outputs_of(&mut balancer)), None, "no agent is known yet");
     tell(&mut balancer, milliseconds(1_150), 1, load(0));
     balancer.handle_timeout(milliseconds(1_160));
-    let (_, _, admission) = made(&outputs_of(&mut balancer)).expect("an offer");
+    let (_, _, admission) = first_offer(&outputs_of(&mut balancer)).expect("an offer");
     let Admission::Line { patience_ms, .. } = admission else { panic!("{admission:?}") };
-    assert!(patience_ms <= 270, "{patience_ms}: its try began at 100 ms");
+    assert!(patience_ms <= 270, "{patience_ms}: its attempt began at 100 ms");
 }
 
 #[test]
-fn callers_whose_try_is_over_are_not_served_when_a_configuration_comes() {
+fn callers_whose_attempt_is_over_are_not_served_when_a_configuration_arrives() {
     let mut balancer = unconfigured();
     balancer.handle_caller(milliseconds(100), &packet(&opening(1)));
     balancer.handle_caller(milliseconds(1_400), &packet(&opening(2)));
@@ -183,11 +189,12 @@
 }
 
 #[test]
-fn a_caller_whose_last_copy_alone_was_heard_is_not_served_when_its_try_is_over() {
+fn a_caller_of_which_only_the_last_retransmission_arrived_is_not_served_after_its_attempt() {
     let mut balancer = unconfigured();
-    let copy = Segment { acknowledgement: 2, ..opening(1) };
-    balancer.handle_caller(milliseconds(100), &packet(&copy));
-    // The copy was sent 0.6 s after the first: the try ended 0.8 s later, and the port is free.
+    let retransmission = Segment { acknowledgement: 2, ..opening(1) };
+    balancer.handle_caller(milliseconds(100), &packet(&retransmission));
+    // This retransmission is sent 0.6 s after the first SYN. The attempt ends 0.8 s later, and the
+    // caller may then reuse its port.
     configure(&mut balancer, 1_000);
     tell(&mut balancer, milliseconds(1_000), 1, load(0));
     balancer.handle_timeout(milliseconds(1_000));
@@ -195,7 +202,7 @@
 }
 
 #[test]
-fn many_callers_of_before_a_configuration_are_offered_a_few_at_a_time() {
+fn many_callers_from_before_the_first_configuration_are_offered_a_few_at_a_time() {
     let mut balancer = unconfigured();
     (1..=200).for_each(|port| balancer.handle_caller(milliseconds(100), &packet(&opening(port))));
     configure(&mut balancer, 200);
@@ -211,23 +218,23 @@
     assert!(most <= 8 && all >= 200, "{most} at once, {all} in all");
 }
 
-/// A flow that waits for as long as any may.
-const LONGEST: Duration = Duration::from_millis(1_500);
+/// Longer than any flow may wait.
+const MAX_WAIT: Duration = Duration::from_millis(1_500);
 
 #[test]
-fn a_balancer_that_hears_no_more_of_a_flow_in_line_forgets_it_and_resets_nobody() {
+fn a_queued_flow_without_a_result_is_dropped_without_a_reset() {
     let mut balancer = balancer_with(1);
     balancer.handle_caller(milliseconds(1), &packet(&opening(1)));
-    let (agent, number, _) = until_line(&mut balancer, 2);
+    let (agent, number, _) = decline_until_wait_queue(&mut balancer, 2);
     let queued = Message::Queued { number, report: load(8) };
     balancer.handle_peer(milliseconds(3), agent, &queued.encode());
-    let mut told = 0;
+    let mut reset_count = 0;
     let mut at = milliseconds(3);
-    while at < LONGEST {
+    while at < MAX_WAIT {
         at += milliseconds(1);
         balancer.handle_timeout(at);
-        told += resets(&outputs_of(&mut balancer));
+        reset_count += resets(&outputs_of(&mut balancer));
     }
-    assert_eq!(told, 0, "the flow may have opened");
+    assert_eq!(reset_count, 0, "the flow may have been placed");
     assert_eq!(balancer.counters(at).openings_left_to_copies, 1);
 }
