--- a/crates/carried/src/balancer/flow_absence.rs
+++ b/crates/carried/src/balancer/flow_absence.rs
@@ -34,7 +34,7 @@
 /// Minimum number of agents that must presume a loss of power before it is assumed.
 const MIN_PRESUMED: usize = 3;
 /// Time between two checks for a loss of power, per known agent.
-const POWER_CHECK_PER_AGENT: Duration = Duration::from_micros(100);
+const POWER_CHECK_INTERVAL_PER_AGENT: Duration = Duration::from_micros(100);
 /// Maximum time between the starts of processes that have lost power together.
 const JOINT_START_WINDOW: Duration = Duration::from_secs(1);
 
@@ -43,10 +43,10 @@
 pub(super) struct AbsenceEvidence {
     /// Whether it has read the list of nodes, which includes every node that joined before the
     /// read.
-    has_list: bool,
+    has_member_list: bool,
     /// Peers' silence counts only from here on: before, this process had not started or was
     /// stalled.
-    since: Duration,
+    observing_since: Duration,
     /// Approximate start time of the agents' processes, if the whole system has lost power.
     restarted_at: Option<StartTime>,
     /// When a loss of power is checked for next.
@@ -55,11 +55,11 @@
 
 impl AbsenceEvidence {
     pub(super) fn note_member_list(&mut self) {
-        self.has_list = true;
+        self.has_member_list = true;
     }
 
     pub(super) fn note_stall(&mut self, now: Duration) {
-        self.since = now;
+        self.observing_since = now;
     }
 
     /// Whether an agent whose process started at `started_at` lost power with the whole system, and
@@ -72,7 +72,7 @@
 
     /// From when on this balancer is taken to know all nodes.
     pub(super) fn members_known_at(&self) -> Duration {
-        if self.has_list { Duration::ZERO } else { DISCOVERY_TIMEOUT }
+        if self.has_member_list { Duration::ZERO } else { DISCOVERY_TIMEOUT }
     }
 }
 
@@ -97,7 +97,8 @@
         if now < self.absence_evidence.next_check {
             return;
         }
-        self.absence_evidence.next_check = now + POWER_CHECK_PER_AGENT * self.pool.len() as u32;
+        self.absence_evidence.next_check =
+            now + POWER_CHECK_INTERVAL_PER_AGENT * self.pool.len() as u32;
         let mut starts: Vec<StartTime> =
             self.pool.iter().filter_map(|(_, view)| view.started_at()).collect();
         starts.sort_unstable();
@@ -119,7 +120,8 @@
         }
     }
 
-    /// Whether the caller of a lookup may be told that no agent owns its flow.
+    /// Whether every known agent is ruled out as the owner of a lookup's flow, so that the caller
+    /// may be reset.
     pub(super) fn no_agent_owns(&self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let is_asked_enough = lookup.has_answer() && self.pool.len() <= MAX_ASKED;
@@ -187,7 +189,7 @@
         if view.is_none() && now >= grace && self.has_system_restarted(now) {
             return true;
         }
-        let since = self.absence_evidence.since;
+        let since = self.absence_evidence.observing_since;
         let asked_in_vain = self.pool.view(agent).and_then(|view| view.in_vain_since());
         let in_vain = asked_in_vain.map(|asked_at| now.saturating_sub(asked_at.max(since)));
         let last_heard = match self.pool.view(agent) {
--- a/crates/carried/src/balancer/pending_flows.rs
+++ b/crates/carried/src/balancer/pending_flows.rs
@@ -10,6 +10,7 @@
 use crate::opening::{Opened, Wanted, may_reset_copy};
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
+    /// Handles a SYN, which is the first one of a new flow or a retransmission.
     pub(super) fn handle_syn(&mut self, now: Duration, segment: &Segment, datagram: &[u8]) {
         if self.admission_pause.is_active(now) {
             self.counters.openings_fenced += 1;
@@ -284,6 +285,7 @@
         }
     }
 
+    /// Offers a pending flow to an agent, with the admission that the flow's state allows.
     pub(super) fn offer(&mut self, now: Duration, number: u64, agent: SocketAddrV4) {
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
         let budget = pending.aim.mul_f64(QUEUE_SHARE).saturating_sub(pending.age(now));
@@ -331,7 +333,7 @@
         let Some(pending) = self.pending_flows.finish(number) else { return };
         self.counters.openings_placed += 1;
         self.pool.note_placed(now, &pending.service);
-        self.note_answer(now, &pending, from);
+        self.note_offer_latency(now, &pending, from);
         self.latency.opening.observe(pending.age(now));
         self.latency.offers.observe_count(pending.asked.len());
         log::info!(
@@ -344,7 +346,7 @@
         self.flows.insert(now, self.idle_timeout(), pending.flow(), from);
     }
 
-    fn note_answer(&self, now: Duration, pending: &Opening, from: SocketAddrV4) {
+    fn note_offer_latency(&self, now: Duration, pending: &Opening, from: SocketAddrV4) {
         let made = pending.asked.iter().rev().find(|asked| asked.agent == from);
         if let Some(asked) = made {
             self.latency.offer.observe(now.saturating_sub(asked.asked_at));
@@ -369,6 +371,7 @@
         self.advance_pending(now, number);
     }
 
+    /// Handles a due timer of a pending flow: marks unanswered offers, or drops a queued flow.
     pub(super) fn wake_pending(&mut self, now: Duration, number: u64) {
         let is_late = self.scheduling_delay.is_delayed(now);
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
--- a/crates/carried/src/balancer/refusals.rs
+++ b/crates/carried/src/balancer/refusals.rs
@@ -25,6 +25,7 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
+    /// Resets the caller of a new flow.
     pub(super) fn refuse(
         &mut self,
         now: Duration,
--- a/crates/carried/src/balancer/store_watch.rs
+++ b/crates/carried/src/balancer/store_watch.rs
@@ -1,8 +1,8 @@
 //! Selects the balancers that watch the shared store for a newer configuration.
 //!
-//! A few balancers of each zone watch the store (long polling), so that the number of calls grows
-//! with zones and changes and not with balancers. The other balancers learn from their heartbeats,
-//! which carry the configuration's version and the age of the store's last confirmation of it.
+//! A few balancers of each zone watch the store, so that the number of calls grows with zones and
+//! changes and not with balancers. The other balancers learn from heartbeats, which carry the
+//! configuration's version and the age of the store's last confirmation that it is the newest.
 //! There is no election: each balancer ranks the balancers of its zone whose heartbeats it
 //! receives, and itself, by link speed and address. While their views differ, one balancer more or
 //! less watches.
@@ -60,6 +60,7 @@
     rank: usize,
     /// Estimated number of balancers that watch the store.
     watchers: usize,
+    /// Number of known balancers; 0 before the first review.
     balancers: usize,
     next_review: Duration,
     last_read: Option<Duration>,
@@ -145,7 +146,7 @@
     /// When [`CarriedBalancer::follow_store`] must be called next.
     pub(super) fn next_store_action(&self) -> Duration {
         let review = self.next_review();
-        self.next_read().map_or(review, |reading| reading.min(review))
+        self.next_read().map_or(review, |read| read.min(review))
     }
 
     fn next_review(&self) -> Duration {
--- a/crates/carried/tests/delegated_reads.rs
+++ b/crates/carried/tests/delegated_reads.rs
@@ -22,16 +22,16 @@
 }
 
 fn read_requests(balancer: &mut CarriedBalancer, from: u64, to: u64) -> Vec<(u64, SocketAddrV4)> {
-    let mut made = Vec::new();
+    let mut requests = Vec::new();
     for at in (from..to).step_by(10) {
         balancer.handle_timeout(milliseconds(at));
         for output in outputs_of(balancer) {
             if let Output::ToPeer { to, message: Message::ReadStore } = output {
-                made.push((at, to));
+                requests.push((at, to));
             }
         }
     }
-    made
+    requests
 }
 
 #[test]
@@ -44,9 +44,9 @@
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
         tell(&mut balancer, milliseconds(2_000), agent, report);
     }
-    let made = read_requests(&mut balancer, 2_000, 3_000);
-    assert_eq!(made.len(), 1, "{made:?}");
-    assert!((2_300..2_400).contains(&made[0].0), "{made:?}");
+    let requests = read_requests(&mut balancer, 2_000, 3_000);
+    assert_eq!(requests.len(), 1, "{requests:?}");
+    assert!((2_300..2_400).contains(&requests[0].0), "{requests:?}");
     balancer.note_store(milliseconds(3_000), true);
     assert_eq!(read_requests(&mut balancer, 3_000, 6_000), []);
 }
@@ -61,8 +61,8 @@
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
         tell(&mut balancer, milliseconds(2_400), agent, report);
     }
-    let made = read_requests(&mut balancer, 2_400, 3_400);
-    assert!((1..=2).contains(&made.len()), "{made:?}");
+    let requests = read_requests(&mut balancer, 2_400, 3_400);
+    assert!((1..=2).contains(&requests.len()), "{requests:?}");
 }
 
 #[test]
@@ -75,9 +75,9 @@
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
         tell(&mut balancer, milliseconds(3_000), agent, report);
     }
-    let made = read_requests(&mut balancer, 2_000, 5_000);
+    let requests = read_requests(&mut balancer, 2_000, 5_000);
     let two_thirds = 2_000 + CONFIGURATION_BOUND.as_millis() as u64 * 2 / 3;
-    assert!(made.first().is_some_and(|(at, _)| *at <= two_thirds), "{made:?}");
+    assert!(requests.first().is_some_and(|(at, _)| *at <= two_thirds), "{requests:?}");
 }
 
 #[test]
--- a/crates/carried/tests/store_watch.rs
+++ b/crates/carried/tests/store_watch.rs
@@ -38,25 +38,25 @@
 /// Like [`store_reads`], while the balancers of the zone with lower numbers go on sending
 /// heartbeats.
 fn reads_among_peers(balancer: &mut CarriedBalancer, number: u8, from: u64, to: u64) -> Vec<u64> {
-    let mut made = Vec::new();
+    let mut reads = Vec::new();
     for at in (from..to).step_by(1_000) {
         for peer in 1..number {
             receive(balancer, milliseconds(at), peer, "a", None);
         }
-        made.extend(store_reads(balancer, at, to.min(at + 1_000)));
+        reads.extend(store_reads(balancer, at, to.min(at + 1_000)));
     }
-    made
+    reads
 }
 
 /// Runs timers until `to` and returns the times at which the store is to be read.
 fn store_reads(balancer: &mut CarriedBalancer, from: u64, to: u64) -> Vec<u64> {
-    let mut made = Vec::new();
+    let mut reads = Vec::new();
     for at in (from..to).step_by(10) {
         balancer.handle_timeout(milliseconds(at));
         let outputs = outputs_of(balancer);
-        made.extend(outputs.iter().filter(|output| **output == Output::ReadStore).map(|_| at));
+        reads.extend(outputs.iter().filter(|output| **output == Output::ReadStore).map(|_| at));
     }
-    made
+    reads
 }
 
 /// Indices of the balancers that watch the store, where `zones` holds each balancer's zone.
@@ -166,14 +166,14 @@
 #[test]
 fn a_balancer_that_does_not_watch_reads_the_store_itself_without_confirmations() {
     let mut last = balancer_at(20, "a");
-    let made = reads_among_peers(&mut last, 20, 100, 14_000);
+    let reads = reads_among_peers(&mut last, 20, 100, 14_000);
     // It reads after one second without a confirmation and 19 turns of 50 ms each, which is within
     // the bound of 3 s, and then every 3 s.
-    assert_eq!(made.first(), Some(&1_950), "{made:?}");
-    assert_eq!(made.len(), 5, "{made:?}");
+    assert_eq!(reads.first(), Some(&1_950), "{reads:?}");
+    assert_eq!(reads.len(), 5, "{reads:?}");
     last.note_store(milliseconds(14_000), true);
-    let made = reads_among_peers(&mut last, 20, 14_000, 15_500);
-    assert_eq!(made, [], "the store has answered its read");
+    let reads = reads_among_peers(&mut last, 20, 14_000, 15_500);
+    assert_eq!(reads, [], "the store has answered its read");
 }
 
 /// When one of four balancers, which all watch the store, reads it itself after the store's last
@@ -189,21 +189,21 @@
     store_reads(&mut balancer, 100, 2_000);
     assert!(balancer.watches_store(milliseconds(2_000)));
     balancer.note_store(milliseconds(2_000), true);
-    let mut made = Vec::new();
+    let mut reads = Vec::new();
     for at in (2_000..9_000).step_by(1_000) {
         others(&mut balancer, at);
-        made.extend(store_reads(&mut balancer, at, at + 1_000));
+        reads.extend(store_reads(&mut balancer, at, at + 1_000));
     }
-    made
+    reads
 }
 
 #[test]
 fn a_balancer_whose_watch_hangs_reads_the_store_itself_in_time() {
     for number in [1, 4] {
-        let made = reads_of_watcher(number);
+        let reads = reads_of_watcher(number);
         let two_thirds = 2_000 + CONFIGURATION_BOUND.as_millis() as u64 * 2 / 3;
-        assert!(made.first().is_some_and(|at| *at <= two_thirds), "{number}: {made:?}");
-        assert!(made.len() <= 3, "{number}: {made:?}");
+        assert!(reads.first().is_some_and(|at| *at <= two_thirds), "{number}: {reads:?}");
+        assert!(reads.len() <= 3, "{number}: {reads:?}");
     }
 }
 
@@ -226,9 +226,9 @@
             let heartbeat = Message::Heartbeat(heartbeat_of("a", None, 0));
             last.handle_peer(milliseconds(100), address(number), &heartbeat.encode());
         }
-        let made = store_reads(&mut last, 100, 3 * third);
-        let in_time = made.first().is_some_and(|at| *at <= 2 * third);
-        assert!(in_time, "{balancers} balancers: {made:?}");
+        let reads = store_reads(&mut last, 100, 3 * third);
+        let in_time = reads.first().is_some_and(|at| *at <= 2 * third);
+        assert!(in_time, "{balancers} balancers: {reads:?}");
     }
 }
 
@@ -255,7 +255,7 @@
     }
     let first = Some(Confirmation { ms_ago: 0, hops: 0 });
     receive(&mut nodes[0], milliseconds(200), 1, "a", first);
-    let mut made = Vec::new();
+    let mut reads = Vec::new();
     // Both balancers send heartbeats to each other all the time, each with a delay of 20 ms.
     for at in (200..6_000).step_by(20) {
         if at % 1_000 == 0 {
@@ -264,13 +264,13 @@
             }
         }
         for (from, to) in [(0, 1), (1, 0)] {
-            made.extend(store_reads(&mut nodes[from], at, at + 10));
+            reads.extend(store_reads(&mut nodes[from], at, at + 10));
             let sent = sent_confirmation(&mut nodes[from], milliseconds(at));
             receive(&mut nodes[to], milliseconds(at + 20), 19 + from as u8, "a", sent);
         }
     }
     // Due one second after the confirmation plus a turn of 0.9 s; only a little more is allowed.
-    assert!(made.first().is_some_and(|at| *at < 2_700), "{:?}", made.first());
+    assert!(reads.first().is_some_and(|at| *at < 2_700), "{:?}", reads.first());
 }
 
 fn sent_confirmation(balancer: &mut CarriedBalancer, now: Duration) -> Option<Confirmation> {
