--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -66,7 +66,7 @@
 
     /// Which flows of the back end are known here.
     fn memory(&self, now: Duration) -> FlowMemory {
-        match self.may_have_forgotten && now < self.settings.longest_flow {
+        match self.may_have_forgotten && now < self.settings.max_flow_age {
             false => FlowMemory::Whole,
             true if self.seems_fresh => FlowMemory::Presumed,
             true => FlowMemory::Partial,
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn report(&self, now: Duration) -> LoadReport {
-        let is_young = now < self.settings.longest_flow;
+        let is_young = now < self.settings.max_flow_age;
         let begun_at = self.begun_at.filter(|_| is_young);
         LoadReport {
             service: self.backend.service().to_owned(),
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -83,7 +83,7 @@
     /// The service of the back end beside it.
     pub service: String,
     /// Age that no flow exceeds.
-    pub longest_flow: Duration,
+    pub max_flow_age: Duration,
     /// A cold back end is given at most so many times the new flows that the configuration tells.
     pub cold_overshoot: f64,
     /// Which mechanisms are on.
@@ -225,7 +225,7 @@
     }
 
     /// Whether the back end's process has ended: the agent holds no flow, and none comes back.
-    pub fn has_ended(&self) -> bool {
+    pub fn backend_has_ended(&self) -> bool {
         self.watch.has_ended
     }
 
--- a/crates/carried/src/agent/packets.rs
+++ b/crates/carried/src/agent/packets.rs
@@ -60,7 +60,7 @@
     /// An agent that has not run for as long as a flow may last cannot know that a flow does not
     /// live here; its back end can.
     pub(super) fn may_have_forgotten(&self, now: Duration, flow: &FlowKey) -> bool {
-        let is_young = now < self.settings.longest_flow;
+        let is_young = now < self.settings.max_flow_age;
         self.may_have_forgotten && is_young && !self.foreign.contains(flow)
     }
 
--- a/crates/carried/src/agent/phases.rs
+++ b/crates/carried/src/agent/phases.rs
@@ -37,7 +37,7 @@
     }
 
     pub(super) fn idle_timeout(&self) -> Duration {
-        self.standing.idle_timeout(self.settings.longest_flow)
+        self.standing.idle_timeout(self.settings.max_flow_age)
     }
 
     /// Has the meter learn when a request begins or ends its work.
--- a/crates/carried/src/agent/watch.rs
+++ b/crates/carried/src/agent/watch.rs
@@ -33,9 +33,9 @@
     /// Nobody listens at its port.
     Refused,
     /// It took the connection: it may live.
-    MayLive,
+    NotRefused,
     /// Nothing was said in time.
-    Unanswered,
+    TimedOut,
 }
 
 /// What is known of the back end's process.
@@ -120,14 +120,14 @@
             return;
         }
         match outcome {
-            ProbeOutcome::Unanswered if !self.watch.has_heard => {
+            ProbeOutcome::TimedOut if !self.watch.has_heard => {
                 self.watch.unanswered += 1;
                 self.watch.next = now + REFUSAL_PAUSE;
                 if self.watch.unanswered >= MOST_UNANSWERED && !self.watch.has_ended {
                     self.end_backend(now, "answers_nothing");
                 }
             }
-            ProbeOutcome::MayLive | ProbeOutcome::Unanswered => {
+            ProbeOutcome::NotRefused | ProbeOutcome::TimedOut => {
                 self.watch.refusals = 0;
                 self.watch.unanswered = 0;
                 self.watch.is_urgent = false;
--- a/crates/carried/tests/endings.rs
+++ b/crates/carried/tests/endings.rs
@@ -174,7 +174,7 @@
     let mut from = 100;
     while let Some(at) = until_probed(&mut agent, from, 4_000) {
         probes += 1;
-        agent.take_probe(milliseconds(at), ProbeOutcome::MayLive);
+        agent.take_probe(milliseconds(at), ProbeOutcome::NotRefused);
         from = at;
     }
     assert!((2..=4).contains(&probes), "{probes}: about one a second");
@@ -215,7 +215,7 @@
         _ => false,
     });
     assert!(says_ended);
-    assert!(agent.has_ended());
+    assert!(agent.backend_has_ended());
     assert!(!agent.is_drained(milliseconds(at)));
     assert!(agent.is_drained(milliseconds(at + 60)));
 }
@@ -225,8 +225,8 @@
     let mut agent = agent_with_flow();
     agent.start_draining(milliseconds(10));
     let at = until_probed(&mut agent, 10, 200).expect("a stop asks at once");
-    agent.take_probe(milliseconds(at), ProbeOutcome::MayLive);
-    assert!(!agent.has_ended());
+    agent.take_probe(milliseconds(at), ProbeOutcome::NotRefused);
+    assert!(!agent.backend_has_ended());
     assert!(agent.is_drained(milliseconds(at)));
 }
 
--- a/crates/carried/tests/repair.rs
+++ b/crates/carried/tests/repair.rs
@@ -262,17 +262,17 @@
                 outputs(&mut agent).contains(&Output::ProbeBackend)
             })
             .expect("it asks until it knows");
-        assert!(!agent.has_ended());
+        assert!(!agent.backend_has_ended());
         // A question without an answer takes 150 ms.
         at += 150;
-        agent.take_probe(milliseconds(at), loftdrift_carried::ProbeOutcome::Unanswered);
+        agent.take_probe(milliseconds(at), loftdrift_carried::ProbeOutcome::TimedOut);
     }
-    assert!(agent.has_ended());
+    assert!(agent.backend_has_ended());
     assert!(milliseconds(at) <= NOBODY_WITHIN, "{at} ms");
     agent.handle_peer(milliseconds(at), balancer_address(), &find(1, 501));
     assert!(outputs(&mut agent).contains(&says(1, Word::Absent)));
     agent.take_report(milliseconds(at + 1), &report("two", 1, true));
-    assert!(!agent.has_ended(), "one that starts later is taken");
+    assert!(!agent.backend_has_ended(), "one that starts later is taken");
 }
 
 #[test]
@@ -282,7 +282,7 @@
     agent.start_draining(milliseconds(10));
     for at in [10, 200, 400, 600, 800, 1_000] {
         agent.handle_timeout(milliseconds(at));
-        agent.take_probe(milliseconds(at), loftdrift_carried::ProbeOutcome::Unanswered);
+        agent.take_probe(milliseconds(at), loftdrift_carried::ProbeOutcome::TimedOut);
     }
-    assert!(!agent.has_ended());
+    assert!(!agent.backend_has_ended());
 }
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -80,7 +80,7 @@
     let settings = CarriedAgentSettings {
         node: node(agent_address(1), NodeRole::Agent),
         service: SERVICE.to_owned(),
-        longest_flow: Duration::from_secs(60),
+        max_flow_age: Duration::from_secs(60),
         cold_overshoot: 1.0,
         policies: Policies::default(),
         is_first_start,
--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -145,7 +145,7 @@
             return self.events.push(thaw, Event::Probed { agent, starts });
         }
         let outcome = match self.backends[agent].is_alive {
-            true => ProbeOutcome::MayLive,
+            true => ProbeOutcome::NotRefused,
             false => ProbeOutcome::Refused,
         };
         let own = self.nodes[node].own_time(self.now);
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -26,7 +26,7 @@
             let settings = CarriedAgentSettings {
                 node: me,
                 service: self.backends[node - settings.balancers].service.to_owned(),
-                longest_flow: LONGEST_FLOW,
+                max_flow_age: LONGEST_FLOW,
                 cold_overshoot: 1.0,
                 policies,
                 is_first_start: starts == 1,
--- a/crates/node/src/agent_core.rs
+++ b/crates/node/src/agent_core.rs
@@ -72,7 +72,7 @@
         NodeStatus {
             is_ready: true,
             is_drained: self.agent.is_drained(now),
-            has_ended: self.agent.has_ended(),
+            has_ended: self.agent.backend_has_ended(),
             configuration: self.agent.configuration_version(),
             watches_store: false,
             health_path: self.agent.health_path().filter(|_| asks).map(str::to_owned),
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -20,8 +20,8 @@
         let connected = tokio::time::timeout(TIMEOUT, TcpStream::connect(backend)).await;
         let outcome = match connected {
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Refused,
-            Ok(_) => ProbeOutcome::MayLive,
-            Err(_) => ProbeOutcome::Unanswered,
+            Ok(_) => ProbeOutcome::NotRefused,
+            Err(_) => ProbeOutcome::TimedOut,
         };
         if commands.send(Command::Probed(outcome)).await.is_err() {
             return;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -118,7 +118,7 @@
             CarriedAgentSettings {
                 node: settings.node.clone(),
                 service: place.service.clone(),
-                longest_flow: settings.longest_flow,
+                max_flow_age: settings.longest_flow,
                 cold_overshoot: settings.cold_overshoot,
                 policies: settings.policies,
                 is_first_start: settings.is_first_start,
