--- a/crates/carried/src/agent/knowledge.rs
+++ b/crates/carried/src/agent/cluster_state.rs
@@ -31,8 +31,8 @@
             Adoption::Changed => {
                 self.counters.configurations_adopted += 1;
                 self.may_be_cold |= was_evacuated;
-                self.tell_change(now, "configuration");
-                self.serve_line(now);
+                self.announce_condition_change(now, "configuration");
+                self.serve_wait_queue(now);
                 return true;
             }
         }
@@ -41,7 +41,7 @@
 
     /// Learns whether the shared store answered a reading: all that it had is known by now.
     pub fn note_store(&mut self, now: Duration, answers: bool) {
-        let asked = self.errand_of.take();
+        let asked = self.store_read_for.take();
         if !answers {
             return;
         }
--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -5,26 +5,26 @@
 
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// Has balancers hear of a condition that they were not told.
-    pub(super) fn tell_change(&mut self, now: Duration, cause: &str) {
+    pub(super) fn announce_condition_change(&mut self, now: Duration, cause: &str) {
         let after = self.condition(now);
-        let before = std::mem::replace(&mut self.told, after);
+        let before = std::mem::replace(&mut self.announced_condition, after);
         if before != after {
             if after == BackendCondition::Ended {
-                self.goodbye_until = Some(now + GOODBYE_LASTS);
+                self.departure_notice_until = Some(now + DEPARTURE_NOTICE_DURATION);
             }
             let (from, to) = (format!("{before:?}"), format!("{after:?}"));
-            log::info!(backend = cause, from = from.as_str(), to = to.as_str(), waiting = self.waiting; "backend_changed");
+            log::info!(backend = cause, from = from.as_str(), to = to.as_str(), waiting = self.in_flight; "backend_changed");
             self.standing.membership.hurry(now);
         }
     }
 
     /// When the condition changes by itself: a silence or a rest is over.
-    pub(super) fn condition_changes_at(&self) -> Option<Duration> {
+    pub(super) fn next_condition_change(&self) -> Option<Duration> {
         [self.silent_until, self.breaker.rests_until()].into_iter().flatten().min()
     }
 
     pub(super) fn condition(&self, now: Duration) -> BackendCondition {
-        if self.watch.has_ended {
+        if self.probe.has_ended {
             return BackendCondition::Ended;
         }
         if self.stopping {
@@ -52,48 +52,48 @@
     }
 
     /// New flows that the back end may still be given, where it is cold and a limit is told.
-    pub(super) fn cold_room(&self, now: Duration) -> Option<usize> {
+    pub(super) fn cold_allowance(&self, now: Duration) -> Option<usize> {
         let service = self.standing.configuration.service(self.backend.service())?;
         let may_be_cold = self.is_cold(now) || !self.backend.has_reported();
         if service.cold_flows_milli == 0 || !may_be_cold {
             return None;
         }
-        let told = f64::from(service.cold_flows_milli) / 1e3;
+        let configured = f64::from(service.cold_flows_milli) / 1e3;
         // One at least: a back end that is given nothing never becomes warm.
-        let limit = (told * self.settings.cold_overshoot).max(1.0) as usize;
-        Some(self.cold_gate.room(now, limit))
+        let limit = (configured * self.settings.cold_overshoot).max(1.0) as usize;
+        Some(self.cold_rate_limit.remaining(now, limit))
     }
 
     /// Which flows of the back end are known here.
-    fn memory(&self, now: Duration) -> FlowMemory {
-        match self.may_have_forgotten && now < self.settings.max_flow_age {
+    fn flow_memory(&self, now: Duration) -> FlowMemory {
+        match self.may_miss_flows && now < self.settings.max_flow_age {
             false => FlowMemory::Whole,
-            true if self.seems_fresh => FlowMemory::Presumed,
+            true if self.seems_started_together => FlowMemory::Presumed,
             true => FlowMemory::Partial,
         }
     }
 
     pub(super) fn report(&self, now: Duration) -> LoadReport {
         let is_young = now < self.settings.max_flow_age;
-        let begun_at = self.begun_at.filter(|_| is_young);
+        let backend_started_at = self.backend_started_at.filter(|_| is_young);
         LoadReport {
             service: self.backend.service().to_owned(),
             condition: self.condition(now),
             capacity: self.backend.capacity(),
-            waiting: self.waiting.min(u32::from(u16::MAX)) as u16,
-            in_line: self.line.len().min(usize::from(u16::MAX)) as u16,
+            waiting: self.in_flight.min(u32::from(u16::MAX)) as u16,
+            in_line: self.wait_queue.len().min(usize::from(u16::MAX)) as u16,
             work_us: self.work.mean_us(),
             measured_ms_ago: self.work.measured_ms_ago(now),
             is_cold: self.is_cold(now),
-            cold_room: self.cold_room(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
-            begun_ms_ago: begun_at.map(|at| up_ms(now.saturating_sub(at))),
-            memory: self.memory(now),
-            up_ms: is_young.then(|| up_ms(now)),
+            cold_room: self.cold_allowance(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
+            begun_ms_ago: backend_started_at.map(|at| message_ms(now.saturating_sub(at))),
+            memory: self.flow_memory(now),
+            up_ms: is_young.then(|| message_ms(now)),
         }
     }
 }
 
 /// A time in milliseconds, as messages tell it.
-pub(super) fn up_ms(now: Duration) -> u32 {
+pub(super) fn message_ms(now: Duration) -> u32 {
     u32::try_from(now.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/carried/src/agent/finding.rs
+++ b/crates/carried/src/agent/lookups.rs
@@ -3,16 +3,16 @@
 //! Invariant: a caller is told that its flow is over only when the flow was open at this back end,
 //! by what its packets acknowledge, and the back end says that it does not hold it any more.
 
-use super::condition::up_ms;
+use super::condition::message_ms;
 use super::*;
 use crate::message::{FlowQuestion, FlowWord, Word};
 
 /// A back end that lives has sent a heartbeat so long after its agent's start.
-const FIRST_REPORT_PATIENCE: Duration = Duration::from_millis(1_500);
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// Tells a balancer whether flows live here.
-    pub(super) fn handle_find(
+    pub(super) fn handle_lookup(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
@@ -20,32 +20,32 @@
     ) {
         self.counters.lookups_received += questions.len() as u64;
         let mut answer = |question: &FlowQuestion| {
-            let word = self.word(now, from, &question.flow.into(), question.acknowledged);
+            let word = self.lookup_answer(now, from, &question.flow.into(), question.acknowledged);
             FlowWord { flow: question.flow, word }
         };
         let words = questions.iter().map(&mut answer).collect();
         self.outputs.push_back(Output::ToPeer {
             to: from,
-            message: Message::Found { up_ms: up_ms(now), words },
+            message: Message::Found { up_ms: message_ms(now), words },
         });
     }
 
     /// What is known of a flow of which a packet came to a balancer.
-    fn word(
+    fn lookup_answer(
         &mut self,
         now: Duration,
         balancer: SocketAddrV4,
         flow: &FlowKey,
         acknowledged: Option<u32>,
     ) -> Word {
-        if self.watch.has_ended {
+        if self.probe.has_ended {
             return Word::Absent;
         }
         if let Some(known) = self.flows.find(flow).and_then(|id| self.flows.get_mut(id)) {
             return match &mut known.body {
                 // The back end has not told yet.
-                body if body.phase == Phase::Tried => Word::Unsure,
-                body if body.acknowledges(acknowledged) => {
+                body if body.phase == Phase::OnTrial => Word::Unsure,
+                body if body.acknowledges_up_to(acknowledged) => {
                     body.balancer = balancer;
                     Word::Held
                 }
@@ -55,38 +55,46 @@
         if !self.may_have_forgotten(now, flow) {
             return Word::Absent;
         }
-        let is_early = !self.knows_backend() && now < FIRST_REPORT_PATIENCE;
+        let is_early = !self.knows_backend() && now < FIRST_REPORT_TIMEOUT;
         if is_early { Word::Early } else { Word::Unsure }
     }
 
     /// Has the back end tell whether it holds the flow of a packet.
-    pub(super) fn handle_try(&mut self, now: Duration, from: SocketAddrV4, datagram: Vec<u8>) {
+    pub(super) fn handle_trial(&mut self, now: Duration, from: SocketAddrV4, datagram: Vec<u8>) {
         let Ok(segment) = self.format.parse(&datagram) else {
             self.counters.packets_malformed += 1;
             return;
         };
         let flow = segment.flow();
         let known = self.flows.find(&flow).and_then(|id| self.flows.get(id));
-        let may_live = match known.map(|flow| flow.body.phase) {
-            Some(phase) => phase == Phase::Tried,
+        let may_be_held = match known.map(|flow| flow.body.phase) {
+            Some(phase) => phase == Phase::OnTrial,
             None => self.may_have_forgotten(now, &flow),
         };
-        if may_live && !self.watch.has_ended {
+        if may_be_held && !self.probe.has_ended {
             return self.deliver(now, from, datagram);
         }
         let acknowledged = segment.acknowledges.then_some(segment.acknowledgement);
-        let word = self.word(now, from, &flow, acknowledged);
-        self.tell_word(now, from, flow, word);
+        let word = self.lookup_answer(now, from, &flow, acknowledged);
+        self.send_lookup_answer(now, from, flow, word);
     }
 
-    pub(super) fn tell_word(&mut self, now: Duration, to: SocketAddrV4, flow: FlowKey, word: Word) {
+    pub(super) fn send_lookup_answer(
+        &mut self,
+        now: Duration,
+        to: SocketAddrV4,
+        flow: FlowKey,
+        word: Word,
+    ) {
         let words = vec![FlowWord { flow: flow.into(), word }];
-        self.outputs
-            .push_back(Output::ToPeer { to, message: Message::Found { up_ms: up_ms(now), words } });
+        self.outputs.push_back(Output::ToPeer {
+            to,
+            message: Message::Found { up_ms: message_ms(now), words },
+        });
     }
 
     /// A packet of a flow whose back end has ended.
-    pub(super) fn refuse_ended(
+    pub(super) fn handle_packet_after_end(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
@@ -94,16 +102,16 @@
         segment: &Segment,
         datagram: Vec<u8>,
     ) {
-        let is_open = self.flows.get(id).is_some_and(|flow| flow.body.is_open_here(segment));
+        let is_proven = self.flows.get(id).is_some_and(|flow| flow.body.is_proven_open_by(segment));
         self.remove(now, id);
-        match is_open {
-            true => self.tell_over(from, segment, "backend_ended"),
-            false => self.pass_back(from, datagram),
+        match is_proven {
+            true => self.reset_flow(from, segment, "backend_ended"),
+            false => self.return_to_balancer(from, datagram),
         }
     }
 
     /// The back end does not hold a flow that was open there: its caller is told at once.
-    pub(super) fn tell_over(&mut self, balancer: SocketAddrV4, segment: &Segment, reason: &str) {
+    pub(super) fn reset_flow(&mut self, balancer: SocketAddrV4, segment: &Segment, reason: &str) {
         let flow = segment.flow();
         if !self.settings.policies.has(Policy::TellOver) {
             return;
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -7,25 +7,25 @@
 //! - A new flow reaches the back end only while its zone is not evacuated, as far as is known here.
 //! - A packet of a flow that does not live here goes back to the balancer as its sender wrote it.
 
-mod cold_gate;
+mod backend_probe;
+mod cluster_state;
+mod cold_rate_limit;
 mod condition;
-mod finding;
 mod flow;
-mod knowledge;
-mod line;
+mod lookups;
 mod offers;
 mod outcomes;
 mod packets;
 mod phases;
 mod reports;
-mod watch;
+mod wait_queue;
 
-use self::cold_gate::ColdGate;
+use self::backend_probe::BackendProbe;
+pub use self::backend_probe::ProbeOutcome;
+use self::cold_rate_limit::ColdRateLimit;
 use self::flow::{CarriedFlow, Phase};
-use self::line::{InLine, Line};
 use self::outcomes::RequestOutcome;
-pub use self::watch::ProbeOutcome;
-use self::watch::Watch;
+use self::wait_queue::{WaitQueue, WaitingFlow};
 use crate::backend::Backend;
 use crate::breaker::{Breaker, BreakerState};
 use crate::configuration::CarriedConfiguration;
@@ -48,32 +48,32 @@
 use std::time::Duration;
 
 /// An opening packet that the back end has not answered for so long speaks for its silence.
-const OPENING_PATIENCE: Duration = Duration::from_millis(60);
+const SYN_ACK_TIMEOUT: Duration = Duration::from_millis(60);
 /// So many unanswered opening packets in a row, and the back end counts as silent.
-const SILENT_AFTER: u32 = 2;
+const SILENT_AFTER_SYNS: u32 = 2;
 /// A silent back end is tried again after so long.
-const SILENCE_LASTS: Duration = Duration::from_millis(800);
+const SILENCE_DURATION: Duration = Duration::from_millis(800);
 /// A caller that does not go on after the back end's answer has gone elsewhere.
-const HANDSHAKE_PATIENCE: Duration = Duration::from_millis(400);
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(400);
 /// A request that is overdue for so long burdens the back end no more.
-const WAITING_PATIENCE: Duration = Duration::from_secs(6);
+const OVERDUE_TIMEOUT: Duration = Duration::from_secs(6);
 /// A request is overdue after so many times the time that it is expected to take, ...
-const OVERDUE_TIMES: u32 = 10;
+const RESPONSE_TIMEOUT_FACTOR: u32 = 10;
 /// ... but not before so long, ...
-const SOONEST_OVERDUE: Duration = Duration::from_millis(700);
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
 /// ... and never later than this.
-const LATEST_OVERDUE: Duration = Duration::from_secs(3);
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 /// A flow that both ends may still speak of after its end is remembered for so long.
-const CLOSING_LASTS: Duration = Duration::from_secs(3);
+const CLOSING_TTL: Duration = Duration::from_secs(3);
 /// Offers that come so soon after a standstill waited in the socket all the while; their balancers
 /// have asked others since.
-const STALE_OFFERS: Duration = Duration::from_millis(20);
+const STALE_OFFER_WINDOW: Duration = Duration::from_millis(20);
 /// A stop waits so long until balancers have heard that the back end has ended.
-const GOODBYE_LASTS: Duration = Duration::from_millis(60);
+const DEPARTURE_NOTICE_DURATION: Duration = Duration::from_millis(60);
 /// Thirds of the slots that requests which are late already may take.
-const SPARE_OF_THREE: u32 = 2;
+const SPARE_SLOT_THIRDS: u32 = 2;
 /// Flows that are known not to live here are remembered, so that they are not tried again.
-const MOST_FOREIGN: usize = 2_048;
+const MAX_ABSENT_FLOWS: usize = 2_048;
 
 /// Settings of an agent of carried flows.
 #[derive(Clone, Debug)]
@@ -102,35 +102,35 @@
     foreign_writer: Option<String>,
     flows: FlowTable<CarriedFlow>,
     /// New flows that wait until the back end has room.
-    line: Line,
-    foreign: HashSet<FlowKey>,
-    foreign_order: VecDeque<FlowKey>,
-    waiting: u32,
+    wait_queue: WaitQueue,
+    absent_flows: HashSet<FlowKey>,
+    absent_flows_order: VecDeque<FlowKey>,
+    in_flight: u32,
     /// Requests that the back end has and has not answered, overdue ones left out.
     working: u32,
     work: WorkMeter,
     breaker: Breaker,
-    cold_gate: ColdGate,
+    cold_rate_limit: ColdRateLimit,
     /// The back end may have turned cold since its last heartbeat: it was evacuated.
     may_be_cold: bool,
-    watch: Watch,
+    probe: BackendProbe,
     /// The back end may hold flows that an earlier process of this agent knew.
-    may_have_forgotten: bool,
+    may_miss_flows: bool,
     /// The back end seems to have started beside this process.
-    seems_fresh: bool,
+    seems_started_together: bool,
     /// About when the back end started, where this process has run ever since.
-    begun_at: Option<Duration>,
-    unanswered: u32,
+    backend_started_at: Option<Duration>,
+    unanswered_syns: u32,
     silent_until: Option<Duration>,
     /// The condition that balancers were told last.
-    told: BackendCondition,
+    announced_condition: BackendCondition,
     /// The balancer that asked for a reading of the store last, until that was made.
-    errand_of: Option<SocketAddrV4>,
+    store_read_for: Option<SocketAddrV4>,
     /// Offers before this are passed over.
     stale_until: Duration,
     stopping: bool,
     /// Until when balancers are being told that the back end has ended; a stop waits for it.
-    goodbye_until: Option<Duration>,
+    departure_notice_until: Option<Duration>,
     outputs: VecDeque<Output>,
     counters: CarriedAgentCounters,
     latency: AgentLatency,
@@ -143,32 +143,32 @@
             standing: Standing::new(settings.node.clone()),
             backend: Backend::new(settings.service.clone()),
             foreign_writer: None,
-            may_have_forgotten: !settings.is_first_start,
-            cold_gate: match settings.is_first_start {
-                true => ColdGate::default(),
-                false => ColdGate::after_restart(),
+            may_miss_flows: !settings.is_first_start,
+            cold_rate_limit: match settings.is_first_start {
+                true => ColdRateLimit::default(),
+                false => ColdRateLimit::after_restart(),
             },
             may_be_cold: false,
             settings,
-            seems_fresh: false,
-            begun_at: None,
+            seems_started_together: false,
+            backend_started_at: None,
             format,
             flows: FlowTable::default(),
-            line: Line::default(),
-            foreign: HashSet::new(),
-            foreign_order: VecDeque::new(),
-            waiting: 0,
+            wait_queue: WaitQueue::default(),
+            absent_flows: HashSet::new(),
+            absent_flows_order: VecDeque::new(),
+            in_flight: 0,
             working: 0,
             work: WorkMeter::default(),
             breaker: Breaker::new(),
-            watch: Watch::default(),
-            unanswered: 0,
+            probe: BackendProbe::default(),
+            unanswered_syns: 0,
             silent_until: None,
-            told: BackendCondition::Unknown,
-            errand_of: None,
+            announced_condition: BackendCondition::Unknown,
+            store_read_for: None,
             stale_until: Duration::ZERO,
             stopping: false,
-            goodbye_until: None,
+            departure_notice_until: None,
             outputs: VecDeque::new(),
             counters: CarriedAgentCounters::default(),
             latency: AgentLatency::default(),
@@ -204,29 +204,29 @@
     /// Takes no new flows from now on and tells every balancer so.
     pub fn start_draining(&mut self, now: Duration) {
         self.stopping = true;
-        self.empty_line(now, DeclineReason::NotAccepting);
-        self.hurry_watch(now);
+        self.decline_all_waiting(now, DeclineReason::NotAccepting);
+        self.probe_urgently(now);
         self.standing.membership.hurry(now);
-        log::info!(waiting = self.waiting; "draining");
+        log::info!(waiting = self.in_flight; "draining");
     }
 
     /// The process has stood still for longer than any peer waits.
     pub fn resume(&mut self, now: Duration) {
-        self.stale_until = now + STALE_OFFERS;
+        self.stale_until = now + STALE_OFFER_WINDOW;
         self.counters.standstills += 1;
         self.standing.membership.hurry(now);
-        log::warn!(waiting = self.waiting; "resumed_after_standstill");
+        log::warn!(waiting = self.in_flight; "resumed_after_standstill");
     }
 
     /// Whether a stop was asked for, nothing waits for an answer, and balancers were told whether the back end lives.
     pub fn is_drained(&self, now: Duration) -> bool {
-        let is_told = self.goodbye_until.is_none_or(|until| now >= until);
-        self.stopping && self.waiting == 0 && !self.watch.is_open() && is_told
+        let is_announced = self.departure_notice_until.is_none_or(|until| now >= until);
+        self.stopping && self.in_flight == 0 && !self.probe.delays_stop() && is_announced
     }
 
     /// Whether the back end's process has ended: the agent holds no flow, and none comes back.
     pub fn backend_has_ended(&self) -> bool {
-        self.watch.has_ended
+        self.probe.has_ended
     }
 
     /// Takes a datagram of another node.
@@ -236,11 +236,11 @@
                 self.handle_offer(now, from, number, &service, admission, datagram);
             }
             Some(Message::Forward { datagram }) => self.deliver(now, from, datagram),
-            Some(Message::Find { questions }) => self.handle_find(now, from, &questions),
-            Some(Message::Try { datagram }) => self.handle_try(now, from, datagram),
+            Some(Message::Find { questions }) => self.handle_lookup(now, from, &questions),
+            Some(Message::Try { datagram }) => self.handle_trial(now, from, datagram),
             Some(Message::ReadStore) => {
                 self.counters.store_errands += 1;
-                self.errand_of = Some(from);
+                self.store_read_for = Some(from);
                 self.outputs.push_back(Output::ReadStore);
             }
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
@@ -253,7 +253,7 @@
             }
             _ => self.counters.messages_malformed += 1,
         }
-        self.serve_line(now);
+        self.serve_wait_queue(now);
     }
 
     /// When [`CarriedAgent::handle_timeout`] must be called next.
@@ -261,10 +261,10 @@
         let due = [
             self.flows.next_wake_up(),
             self.standing.membership.next_due(),
-            self.condition_changes_at(),
+            self.next_condition_change(),
             self.standing.next_end(),
-            self.next_question(),
-            self.line.next_expiry(),
+            self.next_probe(),
+            self.wait_queue.next_expiry(),
         ];
         due.into_iter().flatten().min()
     }
@@ -272,20 +272,20 @@
     /// Does what is due at `now`.
     pub fn handle_timeout(&mut self, now: Duration) {
         while let Some(id) = self.flows.pop_due(now) {
-            self.wake(now, id);
+            self.handle_phase_timeout(now, id);
         }
-        if self.condition_changes_at().is_some_and(|at| at <= now) {
+        if self.next_condition_change().is_some_and(|at| at <= now) {
             self.silent_until = self.silent_until.filter(|until| now < *until);
             self.breaker.wake(now);
-            self.tell_change(now, "rested");
+            self.announce_condition_change(now, "rested");
         }
         let was_evacuated = self.is_evacuated();
         if self.standing.end_evacuations(now) {
             self.may_be_cold |= was_evacuated;
-            self.tell_change(now, "evacuation_lapsed");
+            self.announce_condition_change(now, "evacuation_lapsed");
         }
-        self.ask_backend(now);
-        self.serve_line(now);
+        self.probe_if_due(now);
+        self.serve_wait_queue(now);
         for (peer, wants_reply) in self.standing.membership.take_due(now) {
             self.send_heartbeat(now, peer, wants_reply);
         }
@@ -300,8 +300,8 @@
     pub fn counters(&self, now: Duration) -> CarriedAgentCounters {
         CarriedAgentCounters {
             flows: self.flows.busy() as u64,
-            waiting: u64::from(self.waiting),
-            in_line: self.line.len() as u64,
+            waiting: u64::from(self.in_flight),
+            in_line: self.wait_queue.len() as u64,
             peers: self.standing.membership.len() as u64,
             configuration_version: self.standing.configuration.version.number,
             configuration_newest_heard: self.standing.newest_heard().number,
--- a/crates/carried/src/agent/offers.rs
+++ b/crates/carried/src/agent/offers.rs
@@ -25,53 +25,53 @@
         if let Some(id) = self.flows.find(&flow) {
             match self.flows.get_mut(id).map(|flow| &mut flow.body) {
                 // A copy, perhaps through another balancer: the back end answers it again.
-                Some(body) if body.awaits_opening_of(&segment) => {
+                Some(body) if body.accepts_retransmitted_syn(&segment) => {
                     body.balancer = from;
-                    self.set_phase(now, id, Phase::Offered { number });
+                    self.set_phase(now, id, Phase::Opening { number });
                     self.outputs.push_back(Output::ToBackend(datagram));
                     return;
                 }
                 // A copy that comes late, through a balancer that is behind: the flow is open, or over.
-                Some(body) if body.was_opened_by(segment.sequence) => {
-                    return self.tell_placed(now, from, number);
+                Some(body) if body.was_opened_by_syn(segment.sequence) => {
+                    return self.send_placed(now, from, number);
                 }
                 // The caller uses its port again.
                 _ => self.remove(now, id),
             }
         }
-        let entry = InLine {
+        let entry = WaitingFlow {
             flow,
             number,
             balancer: from,
             datagram,
-            opened_with: segment.sequence,
+            syn_sequence: segment.sequence,
             expires_at: now,
-            joined_at: now,
+            queued_at: now,
         };
-        let refusal = self.refusal(now, service, admission);
-        if self.keeps_waiting(now, &entry, admission, refusal) {
+        let decline = self.decline_reason(now, service, admission);
+        if self.update_waiting(now, &entry, admission, decline) {
             return;
         }
-        if let Some(reason) = refusal {
+        if let Some(reason) = decline {
             return self.decline(now, from, number, &flow, reason);
         }
         match admission {
             Admission::Line { within_ms, patience_ms, priority } => {
-                let expires_at = now + milliseconds(patience_ms);
-                let entry = InLine { expires_at, ..entry };
-                self.admit_to_line(now, entry, milliseconds(within_ms), priority);
+                let expires_at = now + from_ms(patience_ms);
+                let entry = WaitingFlow { expires_at, ..entry };
+                self.accept_or_queue(now, entry, from_ms(within_ms), priority);
             }
-            _ => self.take_flow(now, entry),
+            _ => self.accept_flow(now, entry),
         }
     }
 
     /// Tells a balancer that the flow of its offer lives here.
-    pub(super) fn tell_placed(&mut self, now: Duration, to: SocketAddrV4, number: u64) {
+    pub(super) fn send_placed(&mut self, now: Duration, to: SocketAddrV4, number: u64) {
         let message = Message::Placed { number, report: self.report(now) };
         self.outputs.push_back(Output::ToPeer { to, message });
     }
 
-    pub(super) fn refusal(
+    pub(super) fn decline_reason(
         &self,
         now: Duration,
         service: &str,
@@ -81,36 +81,40 @@
             return Some(DeclineReason::OtherService);
         }
         let is_last_resort = matches!(admission, Admission::Failing(_));
-        if let Some(reason) = self.closed(now, is_last_resort) {
+        if let Some(reason) = self.reason_to_decline_all(now, is_last_resort) {
             return Some(reason);
         }
         // It waits for as long as there is no room.
         if matches!(admission, Admission::Line { .. }) {
             return None;
         }
-        if self.cold_room(now) == Some(0) {
+        if self.cold_allowance(now) == Some(0) {
             return Some(DeclineReason::Cold);
         }
-        let breaks = self.breaker_limit(now).is_some_and(|limit| self.waiting >= limit);
+        let breaks = self.breaker_limit(now).is_some_and(|limit| self.in_flight >= limit);
         if breaks && !is_last_resort {
             return Some(DeclineReason::Failing);
         }
         let capacity = u32::from(self.backend.capacity());
         let limit = match admission {
             Admission::FreeSlot => capacity,
-            Admission::Spare => (capacity * SPARE_OF_THREE / 3).max(1),
+            Admission::Spare => (capacity * SPARE_SLOT_THIRDS / 3).max(1),
             _ if !self.settings.policies.has(Policy::QueueLimit) => u32::MAX,
             Admission::Line { .. } => u32::MAX,
-            Admission::Within(milliseconds) | Admission::Failing(milliseconds) => {
-                let budget = Duration::from_millis(u64::from(milliseconds));
+            Admission::Within(from_ms) | Admission::Failing(from_ms) => {
+                let budget = Duration::from_millis(u64::from(from_ms));
                 self.work.admission_limit(capacity, budget)
             }
         };
-        (self.waiting >= limit).then_some(DeclineReason::Busy)
+        (self.in_flight >= limit).then_some(DeclineReason::Busy)
     }
 
     /// Why no new flow at all is taken just now.
-    pub(super) fn closed(&self, now: Duration, is_last_resort: bool) -> Option<DeclineReason> {
+    pub(super) fn reason_to_decline_all(
+        &self,
+        now: Duration,
+        is_last_resort: bool,
+    ) -> Option<DeclineReason> {
         match self.condition(now) {
             BackendCondition::Accepting => None,
             BackendCondition::Failing if is_last_resort => None,
@@ -147,6 +151,6 @@
     }
 }
 
-fn milliseconds(count: u16) -> Duration {
+fn from_ms(count: u16) -> Duration {
     Duration::from_millis(u64::from(count))
 }
--- a/crates/carried/src/agent/outcomes.rs
+++ b/crates/carried/src/agent/outcomes.rs
@@ -16,7 +16,7 @@
     /// The back end did not take it, having more than its slots hold.
     Shed,
     /// The back end broke the flow off.
-    BrokenOff,
+    Aborted,
     /// No answer came in many times the time that answers take.
     Overdue,
 }
@@ -28,7 +28,7 @@
             RequestOutcome::Failed => "failed",
             RequestOutcome::Refused => "refused",
             RequestOutcome::Shed => "shed",
-            RequestOutcome::BrokenOff => "broken_off",
+            RequestOutcome::Aborted => "broken_off",
             RequestOutcome::Overdue => "overdue",
         }
     }
@@ -41,7 +41,7 @@
 
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// What the first packet of an answer says of a request that began with so many in the system.
-    pub(super) fn outcome(&self, in_system: u32, datagram: &[u8]) -> RequestOutcome {
+    pub(super) fn response_outcome(&self, in_system: u32, datagram: &[u8]) -> RequestOutcome {
         let is_crowded = in_system > u32::from(self.backend.capacity());
         match self.format.answer_outcome(datagram) {
             AnswerOutcome::Answered => RequestOutcome::Answered,
@@ -59,12 +59,12 @@
         if failed {
             self.counters.requests_failed += 1;
             log::warn!(
-                flow = flow_name(flow).as_str(), outcome = outcome.name(), waiting = self.waiting,
+                flow = flow_name(flow).as_str(), outcome = outcome.name(), waiting = self.in_flight,
                 capacity = self.backend.capacity(); "request_failed"
             );
         }
         self.counters.breaker_openings += u64::from(opened);
-        self.tell_change(now, outcome.name());
+        self.announce_condition_change(now, outcome.name());
     }
 
     /// Most requests that the breaker lets wait; `None` while it is closed.
--- a/crates/carried/src/agent/packets.rs
+++ b/crates/carried/src/agent/packets.rs
@@ -15,44 +15,46 @@
         let id = match self.flows.find(&flow) {
             Some(id) => id,
             None if self.may_have_forgotten(now, &flow) => self.start_trial(now, flow, from),
-            None => return self.pass_back(from, datagram),
+            None => return self.return_to_balancer(from, datagram),
         };
         let Some(entry) = self.flows.get_mut(id) else { return };
-        if !entry.body.acknowledges_here(&segment) || !entry.body.continues(&segment) {
-            return self.pass_back(from, datagram);
+        if !entry.body.acknowledges_backend_data(&segment)
+            || !entry.body.continues_caller_data(&segment)
+        {
+            return self.return_to_balancer(from, datagram);
         }
-        if self.watch.has_ended {
-            return self.refuse_ended(now, from, id, &segment, datagram);
+        if self.probe.has_ended {
+            return self.handle_packet_after_end(now, from, id, &segment, datagram);
         }
         entry.body.balancer = from;
         if segment.acknowledges {
-            entry.body.caller_acknowledges = Some(segment.acknowledgement);
+            entry.body.caller_acknowledged = Some(segment.acknowledgement);
         }
         if segment.payload_bytes > 0 {
-            self.watch.note_packet(now);
+            self.probe.note_packet(now);
         }
-        let is_trial = entry.body.phase == Phase::Tried;
+        let is_trial = entry.body.phase == Phase::OnTrial;
         if !is_trial && entry.body.begins_request(&segment) {
-            self.tell_request(from, &flow, &datagram);
+            self.log_request(from, &flow, &datagram);
         }
         self.counters.packets_delivered += 1;
         self.outputs.push_back(Output::ToBackend(datagram));
         if !is_trial {
-            self.follow_caller(now, id, &segment);
+            self.track_caller_packet(now, id, &segment);
         }
     }
 
     /// Tells which request a flow carries, where its first packet says so.
-    fn tell_request(&self, balancer: SocketAddrV4, flow: &FlowKey, datagram: &[u8]) {
+    fn log_request(&self, balancer: SocketAddrV4, flow: &FlowKey, datagram: &[u8]) {
         if let Some(request) = self.format.request_id(datagram) {
             log::info!(
                 flow = flow_name(flow).as_str(), request, balancer:% = balancer,
-                waiting = self.waiting, capacity = self.backend.capacity(); "request_arrived"
+                waiting = self.in_flight, capacity = self.backend.capacity(); "request_arrived"
             );
         }
     }
 
-    pub(super) fn pass_back(&mut self, to: SocketAddrV4, datagram: Vec<u8>) {
+    pub(super) fn return_to_balancer(&mut self, to: SocketAddrV4, datagram: Vec<u8>) {
         self.counters.packets_not_held += 1;
         self.outputs.push_back(Output::ToPeer { to, message: Message::NotHeld { datagram } });
     }
@@ -61,7 +63,7 @@
     /// live here; its back end can.
     pub(super) fn may_have_forgotten(&self, now: Duration, flow: &FlowKey) -> bool {
         let is_young = now < self.settings.max_flow_age;
-        self.may_have_forgotten && is_young && !self.foreign.contains(flow)
+        self.may_miss_flows && is_young && !self.absent_flows.contains(flow)
     }
 
     pub(super) fn start_trial(
@@ -71,39 +73,39 @@
         balancer: SocketAddrV4,
     ) -> FlowId {
         self.counters.packets_tried += 1;
-        let id = self.flows.insert(flow, CarriedFlow::new(now, balancer, Phase::Tried));
-        self.set_phase(now, id, Phase::Tried);
+        let id = self.flows.insert(flow, CarriedFlow::new(now, balancer, Phase::OnTrial));
+        self.set_phase(now, id, Phase::OnTrial);
         id
     }
 
     /// Follows what a caller's packet says about its flow.
-    pub(super) fn follow_caller(&mut self, now: Duration, id: FlowId, segment: &Segment) {
+    pub(super) fn track_caller_packet(&mut self, now: Duration, id: FlowId, segment: &Segment) {
         let Some(flow) = self.flows.get_mut(id) else { return };
         let body = &mut flow.body;
         if segment.resets || segment.finishes {
-            body.caller_left = true;
-            if !body.phase.is_waiting() || segment.resets {
+            body.caller_closed = true;
+            if !body.phase.awaits_response() || segment.resets {
                 self.set_phase(now, id, Phase::Closing);
             }
             return;
         }
         if segment.payload_bytes == 0 {
-            if body.phase == Phase::Answered {
+            if body.phase == Phase::SynAcked {
                 // The request follows at once.
-                body.since = now;
+                body.phase_since = now;
             }
             return;
         }
         if !body.is_new_data(segment) {
             return;
         }
-        body.caller_end = Some(segment.end());
-        if body.phase.is_waiting() {
+        body.caller_data_end = Some(segment.end());
+        if body.phase.awaits_response() {
             return;
         }
-        let already = u32::from(body.phase.burdens());
-        let in_system = self.waiting + 1 - already;
-        self.set_phase(now, id, Phase::Waiting { in_system });
+        let already = u32::from(body.phase.occupies_backend());
+        let in_system = self.in_flight + 1 - already;
+        self.set_phase(now, id, Phase::AwaitingResponse { in_system });
     }
 
     /// Takes a packet that the back end sent.
@@ -116,50 +118,50 @@
             self.format.clear_returned(&mut datagram);
             return self.handle_returned(now, &segment, datagram);
         }
-        self.unanswered = 0;
+        self.unanswered_syns = 0;
         self.silent_until = None;
-        self.watch.note_sign();
+        self.probe.note_activity();
         let flow = segment.flow_of_answer();
-        if segment.resets && self.is_trial(&flow) {
+        if segment.resets && self.is_on_trial(&flow) {
             // The back end speaks of an earlier flow between the same addresses.
             return self.end_trial(now, flow);
         }
         self.counters.packets_answered += 1;
         match self.flows.find(&flow) {
-            Some(id) => self.follow_backend(now, id, &segment, &datagram),
-            None => self.remember(now, flow, &segment),
+            Some(id) => self.track_backend_packet(now, id, &segment, &datagram),
+            None => self.learn_flow(now, flow, &segment),
         }
         let host = *flow.caller.ip();
         self.outputs.push_back(Output::ToCaller { host, datagram });
-        self.serve_line(now);
+        self.serve_wait_queue(now);
     }
 
-    pub(super) fn is_trial(&self, flow: &FlowKey) -> bool {
+    pub(super) fn is_on_trial(&self, flow: &FlowKey) -> bool {
         let id = self.flows.find(flow);
         let known = id.and_then(|id| self.flows.get(id));
-        known.is_some_and(|flow| flow.body.phase == Phase::Tried)
+        known.is_some_and(|flow| flow.body.phase == Phase::OnTrial)
     }
 
     /// The back end does not hold the flow of a packet that it was given on trial.
     pub(super) fn end_trial(&mut self, now: Duration, flow: FlowKey) {
         let Some(id) = self.flows.find(&flow) else { return };
         if let Some(balancer) = self.flows.get(id).map(|flow| flow.body.balancer) {
-            self.tell_word(now, balancer, flow, Word::Absent);
+            self.send_lookup_answer(now, balancer, flow, Word::Absent);
         }
         self.remove(now, id);
-        self.remember_foreign(flow);
+        self.remember_absent(flow);
     }
 
     /// A flow that the back end speaks of and this agent has forgotten.
-    pub(super) fn remember(&mut self, now: Duration, flow: FlowKey, segment: &Segment) {
+    pub(super) fn learn_flow(&mut self, now: Duration, flow: FlowKey, segment: &Segment) {
         let me = self.settings.node.address;
-        let mut body = CarriedFlow::new(now, me, Phase::Resting);
-        body.backend_end = Some(segment.end());
+        let mut body = CarriedFlow::new(now, me, Phase::Idle);
+        body.backend_data_end = Some(segment.end());
         let id = self.flows.insert(flow, body);
-        self.set_phase(now, id, Phase::Resting);
+        self.set_phase(now, id, Phase::Idle);
     }
 
-    pub(super) fn follow_backend(
+    pub(super) fn track_backend_packet(
         &mut self,
         now: Duration,
         id: FlowId,
@@ -167,35 +169,37 @@
         datagram: &[u8],
     ) {
         let Some(flow) = self.flows.get_mut(id) else { return };
-        let is_early = flow.body.is_ahead_of_answer(segment);
-        flow.body.backend_end = Some(segment.end());
-        flow.body.backend_left |= segment.finishes || segment.resets;
-        let (balancer, phase, since) = (flow.body.balancer, flow.body.phase, flow.body.since);
-        let (key, caller_left) = (flow.key, flow.body.caller_left);
+        let is_early = flow.body.is_fin_before_data(segment);
+        flow.body.backend_data_end = Some(segment.end());
+        flow.body.backend_closed |= segment.finishes || segment.resets;
+        let (balancer, phase, since) = (flow.body.balancer, flow.body.phase, flow.body.phase_since);
+        let (key, caller_closed) = (flow.key, flow.body.caller_closed);
         match phase {
-            Phase::Offered { number } if segment.opens => {
-                self.tell_placed(now, balancer, number);
+            Phase::Opening { number } if segment.opens => {
+                self.send_placed(now, balancer, number);
                 self.latency.handshake.observe(now.saturating_sub(since));
-                self.set_phase(now, id, Phase::Answered);
+                self.set_phase(now, id, Phase::SynAcked);
             }
-            Phase::Waiting { in_system } if segment.payload_bytes > 0 => {
+            Phase::AwaitingResponse { in_system } if segment.payload_bytes > 0 => {
                 self.latency.answer.observe(now.saturating_sub(since));
-                let outcome = self.outcome(in_system, datagram);
+                let outcome = self.response_outcome(in_system, datagram);
                 if outcome == RequestOutcome::Answered {
                     self.work.record(now);
                 }
                 self.note_outcome(now, &key, outcome);
-                self.set_phase(now, id, Phase::Resting);
+                self.set_phase(now, id, Phase::Idle);
             }
             // Packets overtake each other: the answer that this one stands behind is to come.
-            Phase::Waiting { .. } if is_early => return,
-            Phase::Waiting { .. } if (segment.resets || segment.finishes) && !caller_left => {
-                self.note_outcome(now, &key, RequestOutcome::BrokenOff);
+            Phase::AwaitingResponse { .. } if is_early => return,
+            Phase::AwaitingResponse { .. }
+                if (segment.resets || segment.finishes) && !caller_closed =>
+            {
+                self.note_outcome(now, &key, RequestOutcome::Aborted);
             }
-            Phase::Overdue if segment.payload_bytes > 0 => self.set_phase(now, id, Phase::Resting),
-            Phase::Tried => {
-                self.tell_word(now, balancer, key, Word::Held);
-                self.set_phase(now, id, Phase::Resting);
+            Phase::Overdue if segment.payload_bytes > 0 => self.set_phase(now, id, Phase::Idle),
+            Phase::OnTrial => {
+                self.send_lookup_answer(now, balancer, key, Word::Held);
+                self.set_phase(now, id, Phase::Idle);
             }
             _ => {}
         }
@@ -207,48 +211,48 @@
     /// The back end did not take a packet.
     pub(super) fn handle_returned(&mut self, now: Duration, segment: &Segment, datagram: Vec<u8>) {
         self.counters.packets_returned += 1;
-        self.watch.note_sign();
+        self.probe.note_activity();
         let flow = segment.flow();
         let Some(id) = self.flows.find(&flow) else { return };
         let Some(entry) = self.flows.get(id) else { return };
         let (balancer, phase) = (entry.body.balancer, entry.body.phase);
         match phase {
-            Phase::Offered { number } if segment.is_opening() => {
+            Phase::Opening { number } if segment.is_opening() => {
                 self.remove(now, id);
                 self.decline(now, balancer, number, &flow, DeclineReason::Returned);
             }
             // A packet of an earlier flow between the same addresses, which came back late, or of
             // one that the back end has ended.
-            Phase::Offered { .. } | Phase::Closing => {}
-            _ if entry.body.backend_left => {}
-            _ if !entry.body.acknowledges_here(segment) => {}
-            _ if entry.body.is_open_here(segment) => {
+            Phase::Opening { .. } | Phase::Closing => {}
+            _ if entry.body.backend_closed => {}
+            _ if !entry.body.acknowledges_backend_data(segment) => {}
+            _ if entry.body.is_proven_open_by(segment) => {
                 self.remove(now, id);
-                self.remember_foreign(flow);
-                self.tell_over(balancer, segment, "lost_by_backend");
+                self.remember_absent(flow);
+                self.reset_flow(balancer, segment, "lost_by_backend");
             }
-            Phase::Tried => self.end_trial(now, flow),
+            Phase::OnTrial => self.end_trial(now, flow),
             _ => {
                 log::warn!(
                     flow = flow_name(&flow).as_str(), balancer:% = balancer;
                     "packet_returned_by_backend"
                 );
                 self.remove(now, id);
-                self.remember_foreign(flow);
-                self.pass_back(balancer, datagram);
+                self.remember_absent(flow);
+                self.return_to_balancer(balancer, datagram);
             }
         }
     }
 
-    pub(super) fn remember_foreign(&mut self, flow: FlowKey) {
-        if !self.foreign.insert(flow) {
+    pub(super) fn remember_absent(&mut self, flow: FlowKey) {
+        if !self.absent_flows.insert(flow) {
             return;
         }
-        self.foreign_order.push_back(flow);
-        if self.foreign_order.len() > MOST_FOREIGN
-            && let Some(oldest) = self.foreign_order.pop_front()
+        self.absent_flows_order.push_back(flow);
+        if self.absent_flows_order.len() > MAX_ABSENT_FLOWS
+            && let Some(oldest) = self.absent_flows_order.pop_front()
         {
-            self.foreign.remove(&oldest);
+            self.absent_flows.remove(&oldest);
         }
     }
 }
--- a/crates/carried/src/agent/reports.rs
+++ b/crates/carried/src/agent/reports.rs
@@ -5,13 +5,13 @@
 use crate::incarnation::Incarnation;
 
 /// A back end whose very first heartbeat is heard here began beside this process.
-const FRESH_SEQUENCE: u64 = 1;
+const FIRST_SEQUENCE: u64 = 1;
 /// One that lost power with this process's machine sends its first heartbeat before the process
 /// listens; the next ones, which follow at once, are heard ...
-const SOON_SEQUENCE: u64 = 3;
+const MAX_EARLY_SEQUENCE: u64 = 3;
 /// ... so soon after the process's start. A back end that has run before sends one about each
 /// second, so that one in seven is heard so soon.
-const SOON: Duration = Duration::from_millis(150);
+const EARLY_REPORT_WINDOW: Duration = Duration::from_millis(150);
 
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// Takes a heartbeat of the back end.
@@ -20,7 +20,7 @@
         let is_first = !self.backend.has_reported();
         let outcome = self.backend.take_report(now, report);
         if outcome == ReportOutcome::Foreign {
-            self.note_foreign(report);
+            self.note_foreign_report(report);
             return outcome;
         }
         let is_first = is_first && self.backend.has_reported();
@@ -31,20 +31,20 @@
                 "backend_heard"
             );
         }
-        if is_first && report.sequence <= FRESH_SEQUENCE {
-            self.may_have_forgotten = false;
-            self.begun_at = Some(now);
-            self.cold_gate.know_all();
-        } else if is_first && self.seems_fresh(now, report) {
-            self.seems_fresh = true;
-            self.begun_at = Some(now);
+        if is_first && report.sequence <= FIRST_SEQUENCE {
+            self.may_miss_flows = false;
+            self.backend_started_at = Some(now);
+            self.cold_rate_limit.clear_restart_block();
+        } else if is_first && self.seems_started_together(now, report) {
+            self.seems_started_together = true;
+            self.backend_started_at = Some(now);
         }
         match outcome {
             ReportOutcome::Started => {
                 log::info!(backend:% = report.incarnation, sequence = report.sequence; "backend_started");
-                self.begun_at = Some(now);
-                self.seems_fresh = false;
-                self.doubt_flows(now);
+                self.backend_started_at = Some(now);
+                self.seems_started_together = false;
+                self.put_flows_on_trial(now);
             }
             ReportOutcome::Outdated => self.counters.backend_reports_outdated += 1,
             ReportOutcome::Doubted => {
@@ -59,15 +59,15 @@
             self.silent_until = None;
             // While the zone is evacuated it may turn cold at any moment.
             self.may_be_cold = self.is_evacuated();
-            self.watch.note_sign();
+            self.probe.note_activity();
         }
-        self.tell_change(now, &report.incarnation.id);
-        self.serve_line(now);
+        self.announce_condition_change(now, &report.incarnation.id);
+        self.serve_wait_queue(now);
         outcome
     }
 
     /// Counts a heartbeat of another service's back end; the first one of each writer is told.
-    fn note_foreign(&mut self, report: &BackendReport) {
+    fn note_foreign_report(&mut self, report: &BackendReport) {
         self.counters.backend_reports_foreign += 1;
         if self.foreign_writer.as_ref() != Some(&report.incarnation.id) {
             log::warn!(
@@ -80,9 +80,9 @@
     }
 
     /// Whether the back end whose first heartbeat this is seems to have started beside this process.
-    fn seems_fresh(&self, now: Duration, report: &BackendReport) -> bool {
+    fn seems_started_together(&self, now: Duration, report: &BackendReport) -> bool {
         let is_cold = !report.warm_up_left.is_zero();
-        is_cold && report.sequence <= SOON_SEQUENCE && now <= SOON
+        is_cold && report.sequence <= MAX_EARLY_SEQUENCE && now <= EARLY_REPORT_WINDOW
     }
 
     /// Notes that a back end's word could not be read.
@@ -93,27 +93,27 @@
     /// Takes the back end's word that it leaves.
     pub fn take_departure(&mut self, now: Duration, gone: &Incarnation) {
         self.backend.take_departure(gone);
-        self.tell_change(now, &gone.id);
-        self.serve_line(now);
+        self.announce_condition_change(now, &gone.id);
+        self.serve_wait_queue(now);
     }
 
     /// Takes the answer to a question about the back end's health.
     pub fn take_health(&mut self, now: Duration, is_healthy: bool) {
         self.backend.take_health(is_healthy);
-        self.tell_change(now, "asked");
+        self.announce_condition_change(now, "asked");
     }
 
     /// The back end has started anew. Flows of its earlier start are over, but some may have opened
     /// since, before this heartbeat came: the back end tells which it holds.
-    fn doubt_flows(&mut self, now: Duration) {
+    fn put_flows_on_trial(&mut self, now: Duration) {
         self.work = WorkMeter::default();
         self.breaker = Breaker::new();
-        self.empty_line(now, DeclineReason::NotAccepting);
+        self.decline_all_waiting(now, DeclineReason::NotAccepting);
         for id in self.flows.ids() {
             let phase = self.flows.get(id).map(|flow| flow.body.phase);
             // One that is being opened is answered by this start or by none.
-            if !matches!(phase, Some(Phase::Offered { .. })) {
-                self.set_phase(now, id, Phase::Tried);
+            if !matches!(phase, Some(Phase::Opening { .. })) {
+                self.set_phase(now, id, Phase::OnTrial);
             }
         }
     }
