--- a/crates/carried/src/agent/backend_probe.rs
+++ b/crates/carried/src/agent/backend_probe.rs
@@ -1,56 +1,60 @@
-//! Whether the back end's process lives.
+//! Finds out whether the back end's process is alive, by probing its port.
 //!
-//! A back end that crashed says nothing; its port refuses connections then. The agent asks only
-//! when it has a reason to doubt: packets had no reaction for longer than any living back end
-//! leaves a repeated packet without one, the agent has just started and heard nothing, or it is
-//! stopping, since machines are taken away once their back end has ended.
+//! A back end that crashed sends no notice, but its port then refuses connections. The agent probes
+//! the port only when it has a reason for doubt: the back end has not reacted to packets for longer
+//! than a live one leaves a retransmission unanswered; the agent has just started and received
+//! nothing from the back end; or the agent is stopping, since a machine is taken away once its back
+//! end has ended.
 
 use super::*;
 
-/// Packets without any reaction for so long are a reason to doubt. A caller repeats a packet after
-/// 200 ms, and a living back end acknowledges the repetition.
+/// A back end that has not reacted to packets for this long is probed. A caller retransmits a
+/// packet after 200 ms, and a live back end acknowledges the retransmission.
 const QUIET_TIMEOUT: Duration = Duration::from_millis(450);
-/// A back end that lives has sent a heartbeat, or answers, so long after its agent's start.
+/// A back end that has sent nothing this long after the agent's start is probed; a live one has
+/// sent a heartbeat by then, or accepts the connection.
 const FIRST_PROBE_DELAY: Duration = Duration::from_millis(120);
-/// Refusals in a row that make a back end ended.
+/// Consecutive refused connections after which the back end counts as ended.
 const REFUSALS_UNTIL_ENDED: u32 = 2;
-/// Time between them.
+/// Minimum time between two probes, unless the back end may be alive.
 const RETRY_INTERVAL: Duration = Duration::from_millis(40);
-/// Questions in a row without any answer, from an agent that has heard nothing of its back end since
-/// its start, that make the back end ended: a machine where no back end runs any more. One that
-/// lives on the same machine takes the connection even while its process stands still, and would
-/// have sent a heartbeat. At 150 ms a question this takes 0.9 s; until then each flow that was
-/// forgotten is searched for in vain, 2,500 failed requests on a day of 91 machines.
+/// Consecutive probes without any answer after which the back end counts as ended, if the agent has
+/// received nothing from it since its own start: no back end runs on the machine any more. A live
+/// one on the same machine would have sent a heartbeat, and its port accepts connections even while
+/// the process does not run. At 150 ms a probe this takes 0.9 s. Until then all lookups of flows
+/// that the back end held are in vain; with 91 machines that failed 2,500 requests.
 const MAX_TIMEOUTS: u32 = 4;
-/// A back end that took the connection is not asked again for so long.
+/// Minimum time until the next probe of a back end that may be alive.
 const ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// A question without an answer is over after so long.
+/// A probe whose outcome is not known after this time is abandoned.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What became of an attempt to connect to the back end.
+/// The outcome of an attempt to connect to the back end's port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
-    /// Nobody listens at its port.
+    /// The connection was refused: no process listens at the port.
     Refused,
-    /// It took the connection: it may live.
+    /// The connection was accepted, or failed otherwise than by a refusal: the back end may be
+    /// alive.
     NotRefused,
-    /// Nothing was said in time.
+    /// The attempt timed out.
     TimedOut,
 }
 
-/// What is known of the back end's process.
+/// What is known about whether the back end's process is alive.
 #[derive(Debug, Default)]
 pub(super) struct BackendProbe {
-    /// The first packet passed to the back end since its last sign of life.
+    /// When the first packet was passed to the back end since it last sent anything.
     unanswered_since: Option<Duration>,
-    /// A question is under way since.
+    /// When the outstanding probe was requested.
     sent_at: Option<Duration>,
+    /// Consecutive refused connections.
     refusals: u32,
-    /// Not to be asked before.
+    /// No probe is sent before this time.
     next_at: Duration,
-    /// The agent stops: whether the back end has ended is to be known at once.
+    /// The agent is stopping and needs to know at once whether the back end has ended.
     is_urgent: bool,
-    /// Questions in a row that nobody answered.
+    /// Consecutive probes that timed out.
     timeouts: u32,
     /// The back end has sent something since the agent's start.
     has_received: bool,
@@ -58,7 +62,7 @@
 }
 
 impl BackendProbe {
-    /// The back end has sent something.
+    /// Records that the back end has sent something.
     pub(super) fn note_activity(&mut self) {
         self.unanswered_since = None;
         self.refusals = 0;
@@ -67,17 +71,17 @@
         self.has_ended = false;
     }
 
-    /// A packet that a living back end reacts to was passed to it.
+    /// Records that a packet to which a live back end reacts was passed to it.
     pub(super) fn note_packet(&mut self, now: Duration) {
         self.unanswered_since.get_or_insert(now);
     }
 
-    /// Whether the agent's stop waits for an answer.
+    /// Whether the agent's stop has to wait for the outcome of a probe.
     pub(super) fn delays_stop(&self) -> bool {
         self.is_urgent && !self.has_ended
     }
 
-    /// When the back end is to be asked next.
+    /// When the back end is to be probed next.
     pub(super) fn next_probe(&self) -> Option<Duration> {
         if self.has_ended {
             return None;
@@ -93,13 +97,13 @@
 }
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// The back end is to be asked at once, since the agent stops.
+    /// Has the back end probed at once, since the agent is stopping.
     pub(super) fn probe_urgently(&mut self, now: Duration) {
         self.probe.is_urgent = self.settings.policies.has(Policy::Probes);
         self.probe.next_at = now;
     }
 
-    /// When the back end is to be asked next.
+    /// When the back end is to be probed next; `None` if [`Policy::Probes`] is off.
     pub(super) fn next_probe(&self) -> Option<Duration> {
         let next = self.probe.next_probe();
         next.filter(|_| self.settings.policies.has(Policy::Probes))
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Takes what became of the attempt that [`Output::ProbeBackend`] asked for.
+    /// Handles the outcome of the attempt that [`Output::ProbeBackend`] asked for.
     pub fn take_probe(&mut self, now: Duration, outcome: ProbeOutcome) {
         if self.probe.sent_at.take().is_none() {
             return;
@@ -144,7 +148,7 @@
         }
     }
 
-    /// Nobody is where the back end was: every flow that it held is over.
+    /// Handles the end of the back end's process: every flow that it held is over.
     fn note_backend_end(&mut self, now: Duration, cause: &str) {
         self.probe.has_ended = true;
         self.probe.is_urgent = false;
--- a/crates/carried/src/agent/cluster_state.rs
+++ b/crates/carried/src/agent/cluster_state.rs
@@ -1,14 +1,14 @@
-//! What an agent knows of the system besides its back end: nodes, configuration, the shared store.
+//! What an agent knows of the cluster: its nodes, the configuration and the shared store.
 
 use super::*;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// What this node gives to whoever asks.
+    /// The snapshot of members and configuration that this node serves to other nodes.
     pub fn snapshot(&self) -> Snapshot {
         self.standing.snapshot(|_| true)
     }
 
-    /// Takes a node's snapshot.
+    /// Adds what another node's snapshot contains.
     pub fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
         self.learn_members(now, &snapshot.members);
         if let Some(configuration) = snapshot.configuration {
@@ -16,13 +16,13 @@
         }
     }
 
-    /// Learns of nodes by hearsay.
+    /// Adds nodes that another source has named; none of them has sent a message here yet.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, crate::NodeRole)]) {
         self.standing.learn(now, members);
     }
 
-    /// Puts in force what is newer of a configuration than the one in force; `true` when that says
-    /// something else.
+    /// Puts a configuration in force where it is newer than the current one; `true` when its
+    /// content differs.
     pub fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration) -> bool {
         let was_evacuated = self.is_evacuated();
         match self.standing.adopt(now, configuration) {
@@ -39,7 +39,8 @@
         false
     }
 
-    /// Learns whether the shared store answered a reading: all that it had is known by now.
+    /// Records whether a read of the shared store succeeded. If it did, everything that it returned
+    /// has been applied before this call.
     pub fn note_store(&mut self, now: Duration, answers: bool) {
         let asked = self.store_read_for.take();
         if !answers {
@@ -47,7 +48,8 @@
         }
         self.standing.store.confirm(now);
         if let Some(balancer) = asked {
-            // It hears the version, and fetches it from here if it is newer.
+            // The heartbeat carries the configuration version; the balancer fetches the
+            // configuration from this agent if it is newer than its own.
             self.send_heartbeat(now, balancer, false);
         }
     }
--- a/crates/carried/src/agent/cold_rate_limit.rs
+++ b/crates/carried/src/agent/cold_rate_limit.rs
@@ -1,35 +1,37 @@
-//! How many new flows a cold back end is admitted.
+//! Limits the rate of new flows given to a cold back end.
 //!
-//! Invariant: no second, wherever it begins, has more new flows than the limit while the back end is
-//! cold, whichever balancers offer them.
+//! Invariant: while the back end is cold, no span of one second, wherever it begins, contains more
+//! new flows than the limit, whichever balancers offer them.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The limit holds for every span of this length.
+/// The limit holds for every span of this length (a sliding window).
 const WINDOW: Duration = Duration::from_secs(1);
 
-/// New flows given of late.
+/// Times at which the back end was given new flows recently.
 #[derive(Debug, Default)]
 pub(super) struct ColdRateLimit {
-    /// Those of the last [`WINDOW`], the oldest first.
+    /// Times within the last [`WINDOW`], the oldest first.
     admitted: VecDeque<Duration>,
-    /// An earlier process of the agent may have given flows until shortly before its end.
+    /// No flow is given before this time: an earlier process of the agent, of whose flows this one
+    /// knows nothing, may have given flows until shortly before this one started.
     blocked_until: Duration,
 }
 
 impl ColdRateLimit {
-    /// The gate of a process that another one may have gone before.
+    /// The state at the start of a process that may replace an earlier one of the same agent.
     pub(super) fn after_restart() -> Self {
         ColdRateLimit { admitted: VecDeque::new(), blocked_until: WINDOW }
     }
 
-    /// The back end began beside this process: no earlier one has given it any flow.
+    /// Lifts the restriction of [`ColdRateLimit::after_restart`]: the back end started while this
+    /// process ran, so no earlier process has given it any flow.
     pub(super) fn clear_restart_block(&mut self) {
         self.blocked_until = Duration::ZERO;
     }
 
-    /// How many more may be given now, of `limit` in any second.
+    /// How many more flows may be given now, with at most `limit` in any second.
     pub(super) fn remaining(&self, now: Duration, limit: usize) -> usize {
         if now < self.blocked_until {
             return 0;
@@ -38,7 +40,7 @@
         limit.saturating_sub(recent.count())
     }
 
-    /// A new flow was admitted.
+    /// Records that a new flow was given to the back end.
     pub(super) fn note_admitted(&mut self, now: Duration) {
         while self.admitted.front().is_some_and(|at| now.saturating_sub(*at) >= WINDOW) {
             self.admitted.pop_front();
--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -1,10 +1,11 @@
-//! Whether the back end takes new flows, and what balancers are told of it.
+//! Whether the back end takes new flows, and how the agent reports that to balancers.
 
 use super::*;
 use crate::message::FlowMemory;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// Has balancers hear of a condition that they were not told.
+    /// If the condition differs from the one that balancers were notified of last, logs the change
+    /// and brings forward the next heartbeats, which carry the new one.
     pub(super) fn announce_condition_change(&mut self, now: Duration, cause: &str) {
         let after = self.condition(now);
         let before = std::mem::replace(&mut self.announced_condition, after);
@@ -18,7 +19,8 @@
         }
     }
 
-    /// When the condition changes by itself: a silence or a rest is over.
+    /// When the condition may change without any input: the back end no longer counts as silent, or
+    /// the open circuit breaker lets a trial request through.
     pub(super) fn next_condition_change(&self) -> Option<Duration> {
         [self.silent_until, self.breaker.rests_until()].into_iter().flatten().min()
     }
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Whether the zone is evacuated, as far as is known here.
+    /// Whether the zone of this agent is evacuated, as far as this agent knows.
     pub(super) fn is_evacuated(&self) -> bool {
         self.standing.is_evacuated(&self.settings.node.zone)
     }
@@ -51,7 +53,8 @@
         self.may_be_cold || self.backend.is_cold(now)
     }
 
-    /// New flows that the back end may still be given, where it is cold and a limit is told.
+    /// How many new flows the back end may still be given now; `None` when it is warm or no limit
+    /// for cold back ends is configured.
     pub(super) fn cold_allowance(&self, now: Duration) -> Option<usize> {
         let service = self.standing.configuration.service(self.backend.service())?;
         let may_be_cold = self.is_cold(now) || !self.backend.has_reported();
@@ -59,12 +62,12 @@
             return None;
         }
         let configured = f64::from(service.cold_flows_milli) / 1e3;
-        // One at least: a back end that is given nothing never becomes warm.
+        // At least one: a back end that is given no flows never warms up.
         let limit = (configured * self.settings.cold_overshoot).max(1.0) as usize;
         Some(self.cold_rate_limit.remaining(now, limit))
     }
 
-    /// Which flows of the back end are known here.
+    /// How completely this agent knows the flows of its back end.
     fn flow_memory(&self, now: Duration) -> FlowMemory {
         match self.may_miss_flows && now < self.settings.max_flow_age {
             false => FlowMemory::Whole,
@@ -82,8 +85,8 @@
             capacity: self.backend.capacity(),
             waiting: self.in_flight.min(u32::from(u16::MAX)) as u16,
             in_line: self.wait_queue.len().min(usize::from(u16::MAX)) as u16,
-            work_us: self.work.mean_us(),
-            measured_ms_ago: self.work.measured_ms_ago(now),
+            work_us: self.work_meter.mean_us(),
+            measured_ms_ago: self.work_meter.measured_ms_ago(now),
             is_cold: self.is_cold(now),
             cold_room: self.cold_allowance(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
             begun_ms_ago: backend_started_at.map(|at| message_ms(now.saturating_sub(at))),
@@ -93,7 +96,7 @@
     }
 }
 
-/// A time in milliseconds, as messages tell it.
+/// A duration in milliseconds, as messages carry it; capped at `u32::MAX`.
 pub(super) fn message_ms(now: Duration) -> u32 {
     u32::try_from(now.as_millis()).unwrap_or(u32::MAX)
 }
--- a/crates/carried/src/agent/flow.rs
+++ b/crates/carried/src/agent/flow.rs
@@ -1,42 +1,43 @@
-//! One flow, as far as its packets tell.
+//! The state of one flow, followed by its packets.
 
 use crate::segment::{LARGEST_WINDOW, Segment};
 use loftdrift_wire::FlowKey;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Where a flow stands, as far as its packets tell.
+/// The phase of a flow, as seen from its packets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// The back end has the opening packet.
+    /// The SYN was passed to the back end, which has not answered it yet.
     Opening {
-        /// The offer's number.
+        /// The number of the balancer's offer.
         number: u64,
     },
-    /// The back end has answered the opening packet.
+    /// The back end has answered the SYN; no request has arrived yet.
     SynAcked,
-    /// A request waits for its answer.
+    /// The back end has a request that it has not answered.
     AwaitingResponse {
-        /// Requests in the system when it began, this one included.
+        /// Flows that occupied the back end when the request began, this one included.
         in_system: u32,
     },
-    /// A request waits far longer than requests do here; it was counted as failed.
+    /// A request has waited far longer than requests usually do here; it was counted as failed.
     Overdue,
-    /// Nothing is owed.
+    /// The flow is open and no request is outstanding.
     Idle,
-    /// One end has finished.
+    /// At least one end has closed the flow.
     Closing,
-    /// Forgotten or never known here; the back end is to tell.
+    /// The agent does not know whether the back end holds the flow; the back end's reaction to the
+    /// next packet will show.
     OnTrial,
 }
 
 impl Phase {
-    /// Whether a request waits for its answer.
+    /// Whether a request has not been answered.
     pub(super) fn awaits_response(self) -> bool {
         matches!(self, Phase::AwaitingResponse { .. } | Phase::Overdue)
     }
 
-    /// Whether the back end has something to do, or is about to.
+    /// Whether the flow occupies the back end: it is being opened, or has an unanswered request.
     pub(super) fn occupies_backend(self) -> bool {
         matches!(self, Phase::Opening { .. } | Phase::SynAcked) || self.awaits_response()
     }
@@ -44,21 +45,21 @@
 
 #[derive(Debug)]
 pub(super) struct CarriedFlow {
-    /// The balancer that sent a packet of the flow last.
+    /// The balancer that sent the latest packet of the flow.
     pub(super) balancer: SocketAddrV4,
     pub(super) phase: Phase,
     pub(super) phase_since: Duration,
-    /// Sequence number of the opening packet, by which its copies are told from another flow's.
+    /// Sequence number of the SYN; distinguishes its retransmissions from the SYN of another flow.
     pub(super) syn_sequence: Option<u32>,
-    /// The caller has finished; while a request waits, it has given that up.
+    /// The caller has closed its side; if a request is outstanding, the caller has given it up.
     pub(super) caller_closed: bool,
-    /// The back end has finished.
+    /// The back end has closed its side.
     pub(super) backend_closed: bool,
-    /// End of the caller's data so far, in its sequence numbers.
+    /// Sequence number after the last data received from the caller.
     pub(super) caller_data_end: Option<u32>,
-    /// What the caller's last packet acknowledges.
+    /// Acknowledgement number of the caller's last packet.
     pub(super) caller_acknowledged: Option<u32>,
-    /// End of the back end's data so far, in the numbers that the caller acknowledges.
+    /// Sequence number after the last data received from the back end.
     pub(super) backend_data_end: Option<u32>,
 }
 
@@ -77,33 +78,33 @@
         }
     }
 
-    /// Whether a caller's packet carries data that has not come before.
+    /// Whether a caller's packet carries data that was not received before.
     pub(super) fn is_new_data(&self, segment: &Segment) -> bool {
         let end = segment.end();
         let is_ahead = |known: u32| end.wrapping_sub(known) as i32 > 0;
         segment.payload_bytes > 0 && self.caller_data_end.is_none_or(is_ahead)
     }
 
-    /// Whether a caller's packet is the first of a request.
+    /// Whether a caller's packet is the first one of a request.
     pub(super) fn begins_request(&self, segment: &Segment) -> bool {
         !self.phase.awaits_response() && self.is_new_data(segment)
     }
 
-    /// Whether a packet without data that ends a flow stands behind data which has not come.
-    pub(super) fn is_fin_before_data(&self, segment: &Segment) -> bool {
+    /// Whether a back end's packet is a FIN without data that overtook data sent before it.
+    pub(super) fn is_overtaking_fin(&self, segment: &Segment) -> bool {
         let is_ahead =
             |known: u32| segment.sequence.wrapping_sub(known) as i32 > SYN_SEQUENCE_LENGTH;
         let ends = segment.finishes && segment.payload_bytes == 0;
         ends && self.backend_data_end.is_some_and(is_ahead)
     }
 
-    /// Whether a caller's packet can be of this flow and not of another one between the same
-    /// addresses: it acknowledges what this flow's back end has sent.
+    /// Whether a caller's packet can belong to this flow and not to another one between the same
+    /// addresses: its acknowledgement number must be near what this flow's back end has sent.
     pub(super) fn acknowledges_backend_data(&self, segment: &Segment) -> bool {
         self.acknowledges_up_to(segment.acknowledges.then_some(segment.acknowledgement))
     }
 
-    /// The same of a packet's acknowledgement alone.
+    /// As [`CarriedFlow::acknowledges_backend_data`], given the acknowledgement number alone.
     pub(super) fn acknowledges_up_to(&self, acknowledged: Option<u32>) -> bool {
         let (Some(end), Some(acknowledged)) = (self.backend_data_end, acknowledged) else {
             return true;
@@ -111,9 +112,10 @@
         acknowledged.wrapping_sub(end).cast_signed().unsigned_abs() <= LARGEST_WINDOW
     }
 
-    /// Whether a caller's data can be of this flow by its own numbers too. Back ends' first numbers
-    /// are near each other once in 8,000 times: the port's next flow, at another back end, would be
-    /// answered with what this one was.
+    /// Whether the sequence number of a caller's data fits this flow too. The acknowledgement
+    /// number alone is not enough: the initial sequence numbers of two back ends are near each
+    /// other once in 8,000 times. Data of the next flow from the same port, at another back end,
+    /// would then reach this back end and be answered as part of this flow.
     pub(super) fn continues_caller_data(&self, segment: &Segment) -> bool {
         let known = self.caller_data_end.or(self.syn_sequence);
         segment.payload_bytes == 0
@@ -123,28 +125,30 @@
             })
     }
 
-    /// Whether a copy of the opening packet may still open the flow.
+    /// Whether a SYN is a retransmission that may still open the flow.
     pub(super) fn accepts_retransmitted_syn(&self, syn: &Segment) -> bool {
         let awaits = matches!(self.phase, Phase::Opening { .. } | Phase::SynAcked);
         awaits && self.syn_sequence.is_none_or(|sequence| sequence == syn.sequence)
     }
 
-    /// Whether an opening packet with this number is a copy of the one that opened the flow, which may
-    /// be over: a copy may have waited for more than a second in a line, and its caller's port may
-    /// stand for another flow by then. The back end would answer that one for the old one.
+    /// Whether a SYN with this sequence number is a retransmission of the one that opened the flow,
+    /// even if the flow is over. A retransmission may have waited in a queue for more than a
+    /// second, and the caller may use the port for another flow by then, which would receive the
+    /// back end's answer to the old SYN.
     pub(super) fn was_opened_by_syn(&self, sequence: u32) -> bool {
         self.syn_sequence == Some(sequence)
     }
 
-    /// What a reset of the flow answers; `None` before the caller has acknowledged anything.
+    /// The segment that a reset of the flow answers: the caller's last acknowledgement. `None`
+    /// before the caller has acknowledged anything.
     pub(super) fn last_acknowledgement(&self, key: &FlowKey) -> Option<Segment> {
         let acknowledgement = self.caller_acknowledged?;
         let head = Segment::between(key.caller, key.service);
         Some(Segment { acknowledges: true, acknowledgement, ..head })
     }
 
-    /// Whether a caller's packet shows that the flow is open here: its back end has sent something,
-    /// and the packet acknowledges that.
+    /// Whether a caller's packet proves that the flow is open at this back end: the back end has
+    /// sent something, and the packet acknowledges it.
     pub(super) fn is_proven_open_by(&self, segment: &Segment) -> bool {
         let is_over =
             self.backend_closed || matches!(self.phase, Phase::Opening { .. } | Phase::Closing);
@@ -153,5 +157,5 @@
     }
 }
 
-/// Sequence numbers that an opening packet takes.
+/// A SYN takes up one sequence number.
 const SYN_SEQUENCE_LENGTH: i32 = 1;
--- a/crates/carried/src/agent/lookups.rs
+++ b/crates/carried/src/agent/lookups.rs
@@ -1,17 +1,22 @@
-//! Questions about flows, packets on trial, and flows that the back end has lost.
+//! Answers lookups of flows, delivers trial packets, and resets flows that the back end has lost.
 //!
-//! Invariant: a caller is told that its flow is over only when the flow was open at this back end,
-//! by what its packets acknowledge, and the back end says that it does not hold it any more.
+//! A trial packet belongs to a flow that this agent does not know but its back end may hold, since
+//! an earlier process of the agent may have placed it there. How the back end reacts shows whether
+//! it holds the flow.
+//!
+//! Invariant: a caller's flow is reset only when the flow was open at this back end, as shown by
+//! what the caller's packets acknowledge, and the back end no longer holds it.
 
 use super::condition::message_ms;
 use super::*;
 use crate::message::{FlowQuestion, FlowWord, Word};
 
-/// A back end that lives has sent a heartbeat so long after its agent's start.
+/// A live back end has sent a heartbeat by this time after its agent's start. Until then an agent
+/// that has received none answers lookups of unknown flows with [`Word::Early`].
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// Tells a balancer whether flows live here.
+    /// Answers a balancer that asks whether this back end holds certain flows.
     pub(super) fn handle_lookup(
         &mut self,
         now: Duration,
@@ -30,7 +35,7 @@
         });
     }
 
-    /// What is known of a flow of which a packet came to a balancer.
+    /// The answer about one flow, given what the packet that the balancer received acknowledges.
     fn lookup_answer(
         &mut self,
         now: Duration,
@@ -43,7 +48,7 @@
         }
         if let Some(known) = self.flows.find(flow).and_then(|id| self.flows.get_mut(id)) {
             return match &mut known.body {
-                // The back end has not told yet.
+                // The back end has not reacted to the trial packet yet.
                 body if body.phase == Phase::OnTrial => Word::Unsure,
                 body if body.acknowledges_up_to(acknowledged) => {
                     body.balancer = balancer;
@@ -59,7 +64,8 @@
         if is_early { Word::Early } else { Word::Unsure }
     }
 
-    /// Has the back end tell whether it holds the flow of a packet.
+    /// Passes a trial packet to the back end if this agent cannot tell whether the back end holds
+    /// the flow; otherwise answers at once.
     pub(super) fn handle_trial(&mut self, now: Duration, from: SocketAddrV4, datagram: Vec<u8>) {
         let Ok(segment) = self.format.parse(&datagram) else {
             self.counters.packets_malformed += 1;
@@ -93,7 +99,8 @@
         });
     }
 
-    /// A packet of a flow whose back end has ended.
+    /// Handles a packet of a known flow after the back end's process has ended: resets the flow if
+    /// it was open, otherwise returns the packet to the balancer.
     pub(super) fn handle_packet_after_end(
         &mut self,
         now: Duration,
@@ -102,15 +109,16 @@
         segment: &Segment,
         datagram: Vec<u8>,
     ) {
-        let is_proven = self.flows.get(id).is_some_and(|flow| flow.body.is_proven_open_by(segment));
+        let was_open = self.flows.get(id).is_some_and(|flow| flow.body.is_proven_open_by(segment));
         self.remove(now, id);
-        match is_proven {
+        match was_open {
             true => self.reset_flow(from, segment, "backend_ended"),
             false => self.return_to_balancer(from, datagram),
         }
     }
 
-    /// The back end does not hold a flow that was open there: its caller is told at once.
+    /// Sends the caller a reset of a flow that was open at the back end and is lost, and notifies
+    /// the balancer, so that the caller need not wait for a timeout.
     pub(super) fn reset_flow(&mut self, balancer: SocketAddrV4, segment: &Segment, reason: &str) {
         let flow = segment.flow();
         if !self.settings.policies.has(Policy::TellOver) {
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -1,11 +1,15 @@
-//! The agent's core: the truth about the one back end beside it and the flows that live there.
+//! The agent's core, without I/O. An agent runs on the machine of one back end and is the authority
+//! on that back end's state and flows.
 //!
 //! Invariants:
-//! - A new flow reaches the back end only while the back end accepts, is of the offer's service, and
-//!   has room within the offer's admission; whatever balancers believe decides nothing here.
-//! - An offer gets one final answer, `Placed` or `Declined`; a declined flow has never been at work.
-//! - A new flow reaches the back end only while its zone is not evacuated, as far as is known here.
-//! - A packet of a flow that does not live here goes back to the balancer as its sender wrote it.
+//! - A new flow reaches the back end only while the back end accepts flows, belongs to the offer's
+//!   service, and has room within the offer's admission. The agent's own knowledge decides, not
+//!   what the balancer assumes.
+//! - An offer gets one final answer, `Placed` or `Declined`; a declined flow has never reached the
+//!   back end's application.
+//! - A new flow reaches the back end only while its zone is not evacuated, as far as the agent
+//!   knows.
+//! - A packet of a flow that the back end does not hold goes back to the balancer unchanged.
 
 mod backend_probe;
 mod cluster_state;
@@ -47,89 +51,98 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An opening packet that the back end has not answered for so long speaks for its silence.
+/// A SYN that the back end has not answered within this time counts as unanswered.
 const SYN_ACK_TIMEOUT: Duration = Duration::from_millis(60);
-/// So many unanswered opening packets in a row, and the back end counts as silent.
+/// Consecutive unanswered SYNs after which the back end counts as silent.
 const SILENT_AFTER_SYNS: u32 = 2;
-/// A silent back end is tried again after so long.
+/// How long a silent back end is given no new flows before it is tried again.
 const SILENCE_DURATION: Duration = Duration::from_millis(800);
-/// A caller that does not go on after the back end's answer has gone elsewhere.
+/// A caller that has sent no request this long after the SYN-ACK is not expected to send one soon;
+/// the flow no longer counts as occupying the back end.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(400);
-/// A request that is overdue for so long burdens the back end no more.
+/// A request that has been overdue for this long no longer counts as occupying the back end.
 const OVERDUE_TIMEOUT: Duration = Duration::from_secs(6);
-/// A request is overdue after so many times the time that it is expected to take, ...
+/// A request is overdue after this many times its expected response time, ...
 const RESPONSE_TIMEOUT_FACTOR: u32 = 10;
-/// ... but not before so long, ...
+/// ... but not before this time, ...
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
-/// ... and never later than this.
+/// ... and at the latest after this time.
 const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
-/// A flow that both ends may still speak of after its end is remembered for so long.
+/// How long a flow is remembered after its caller has closed it, since packets of either end may
+/// still arrive.
 const CLOSING_TTL: Duration = Duration::from_secs(3);
-/// Offers that come so soon after a standstill waited in the socket all the while; their balancers
-/// have asked others since.
+/// Offers that are read this soon after a stall of the process waited in the socket during it. They
+/// are ignored, since their balancers have offered the flows to other agents meanwhile.
 const STALE_OFFER_WINDOW: Duration = Duration::from_millis(20);
-/// A stop waits so long until balancers have heard that the back end has ended.
+/// How long a stopping agent goes on after its back end has ended, so that balancers receive the
+/// departure notice.
 const DEPARTURE_NOTICE_DURATION: Duration = Duration::from_millis(60);
-/// Thirds of the slots that requests which are late already may take.
+/// Thirds of the slots that may be occupied when a request that is already late is accepted.
 const SPARE_SLOT_THIRDS: u32 = 2;
-/// Flows that are known not to live here are remembered, so that they are not tried again.
+/// Maximum number of flows remembered as not held by the back end, so that they go on trial only
+/// once.
 const MAX_ABSENT_FLOWS: usize = 2_048;
 
 /// Settings of an agent of carried flows.
 #[derive(Clone, Debug)]
 pub struct CarriedAgentSettings {
-    /// The agent itself.
+    /// The agent's own address, zone and other properties as a node.
     pub node: Node,
-    /// The service of the back end beside it.
+    /// The service of the agent's back end.
     pub service: String,
-    /// Age that no flow exceeds.
+    /// Maximum age of a flow. An agent that has run for longer knows all flows of its back end.
     pub max_flow_age: Duration,
-    /// A cold back end is given at most so many times the new flows that the configuration tells.
+    /// Factor on the configured rate of new flows for a cold back end.
     pub cold_overshoot: f64,
-    /// Which mechanisms are on.
+    /// Which optional mechanisms are enabled.
     pub policies: Policies,
-    /// No process of the system has run before: the agent cannot have forgotten any flow.
+    /// The system starts for the first time: no earlier process of the agent can have placed flows.
     pub is_first_start: bool,
 }
 
-/// An agent.
+/// The agent of one back end: decides which new flows the back end takes, and tracks its flows.
 pub struct CarriedAgent<F = PlainFormat> {
     settings: CarriedAgentSettings,
     format: F,
     standing: Standing,
     backend: Backend,
-    /// Whose heartbeat named another service last.
-    foreign_writer: Option<String>,
+    /// The sender of the last heartbeat that named another service.
+    last_foreign_sender: Option<String>,
     flows: FlowTable<CarriedFlow>,
     /// New flows that wait until the back end has room.
     wait_queue: WaitQueue,
+    /// Flows that the back end has shown not to hold.
     absent_flows: HashSet<FlowKey>,
+    /// The same flows, the oldest first.
     absent_flows_order: VecDeque<FlowKey>,
+    /// Flows that occupy the back end: those being opened and those with an unanswered request.
     in_flight: u32,
-    /// Requests that the back end has and has not answered, overdue ones left out.
-    working: u32,
-    work: WorkMeter,
+    /// Requests that the back end has not answered, without overdue ones.
+    awaiting_response: u32,
+    work_meter: WorkMeter,
     breaker: Breaker,
     cold_rate_limit: ColdRateLimit,
-    /// The back end may have turned cold since its last heartbeat: it was evacuated.
+    /// The back end may have turned cold since its last heartbeat, because its zone was evacuated.
     may_be_cold: bool,
     probe: BackendProbe,
-    /// The back end may hold flows that an earlier process of this agent knew.
+    /// The back end may hold flows that an earlier process of this agent placed and this one does
+    /// not know.
     may_miss_flows: bool,
-    /// The back end seems to have started beside this process.
+    /// The back end seems to have started together with this process, as after a power failure.
     seems_started_together: bool,
-    /// About when the back end started, where this process has run ever since.
+    /// About when the back end started; `None` if it started before this process.
     backend_started_at: Option<Duration>,
+    /// Consecutive SYNs that the back end has not answered in time.
     unanswered_syns: u32,
     silent_until: Option<Duration>,
-    /// The condition that balancers were told last.
+    /// The condition that balancers were notified of last.
     announced_condition: BackendCondition,
-    /// The balancer that asked for a reading of the store last, until that was made.
+    /// The balancer that last asked for a delegated store read, until the read is done.
     store_read_for: Option<SocketAddrV4>,
-    /// Offers before this are passed over.
-    stale_until: Duration,
+    /// Offers that arrive before this time are ignored.
+    ignore_offers_until: Duration,
     stopping: bool,
-    /// Until when balancers are being told that the back end has ended; a stop waits for it.
+    /// Until when balancers are being notified that the back end has ended; a stop waits for it.
     departure_notice_until: Option<Duration>,
     outputs: VecDeque<Output>,
     counters: CarriedAgentCounters,
@@ -137,12 +150,12 @@
 }
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// An agent that has just started and knows nothing but its settings.
+    /// Creates an agent that knows nothing but its settings.
     pub fn new(settings: CarriedAgentSettings, format: F) -> Self {
         CarriedAgent {
             standing: Standing::new(settings.node.clone()),
             backend: Backend::new(settings.service.clone()),
-            foreign_writer: None,
+            last_foreign_sender: None,
             may_miss_flows: !settings.is_first_start,
             cold_rate_limit: match settings.is_first_start {
                 true => ColdRateLimit::default(),
@@ -158,15 +171,15 @@
             absent_flows: HashSet::new(),
             absent_flows_order: VecDeque::new(),
             in_flight: 0,
-            working: 0,
-            work: WorkMeter::default(),
+            awaiting_response: 0,
+            work_meter: WorkMeter::default(),
             breaker: Breaker::new(),
             probe: BackendProbe::default(),
             unanswered_syns: 0,
             silent_until: None,
             announced_condition: BackendCondition::Unknown,
             store_read_for: None,
-            stale_until: Duration::ZERO,
+            ignore_offers_until: Duration::ZERO,
             stopping: false,
             departure_notice_until: None,
             outputs: VecDeque::new(),
@@ -175,12 +188,12 @@
         }
     }
 
-    /// The next thing to do.
+    /// The next action for the embedder.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The nodes known.
+    /// The nodes that this agent knows.
     pub fn membership(&self) -> &Membership {
         &self.standing.membership
     }
@@ -190,18 +203,18 @@
         self.standing.configuration.version
     }
 
-    /// Path of the health page of the back end's service, once the configuration tells.
+    /// Path of the health check of the back end's service; `None` until a configuration defines it.
     pub fn health_path(&self) -> Option<&str> {
         let service = self.standing.configuration.service(self.backend.service())?;
         Some(&service.health_path)
     }
 
-    /// Whether the back end has sent a heartbeat, or has answered for its health.
+    /// Whether the back end has sent a heartbeat or passed a health check.
     pub fn knows_backend(&self) -> bool {
         self.backend.condition() != BackendCondition::Unknown
     }
 
-    /// Takes no new flows from now on and tells every balancer so.
+    /// Accepts no new flows from now on, and notifies balancers.
     pub fn start_draining(&mut self, now: Duration) {
         self.stopping = true;
         self.decline_all_waiting(now, DeclineReason::NotAccepting);
@@ -210,26 +223,27 @@
         log::info!(waiting = self.in_flight; "draining");
     }
 
-    /// The process has stood still for longer than any peer waits.
+    /// Handles the end of a stall: the process has not run for longer than any peer waits.
     pub fn resume(&mut self, now: Duration) {
-        self.stale_until = now + STALE_OFFER_WINDOW;
+        self.ignore_offers_until = now + STALE_OFFER_WINDOW;
         self.counters.standstills += 1;
         self.standing.membership.hurry(now);
         log::warn!(waiting = self.in_flight; "resumed_after_standstill");
     }
 
-    /// Whether a stop was asked for, nothing waits for an answer, and balancers were told whether the back end lives.
+    /// Whether the agent may stop: a stop was requested, no flow occupies the back end, and
+    /// balancers were notified if the back end has ended.
     pub fn is_drained(&self, now: Duration) -> bool {
         let is_announced = self.departure_notice_until.is_none_or(|until| now >= until);
         self.stopping && self.in_flight == 0 && !self.probe.delays_stop() && is_announced
     }
 
-    /// Whether the back end's process has ended: the agent holds no flow, and none comes back.
+    /// Whether the back end's process has ended, and its flows with it.
     pub fn backend_has_ended(&self) -> bool {
         self.probe.has_ended
     }
 
-    /// Takes a datagram of another node.
+    /// Handles a datagram from another node.
     pub fn handle_peer(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
         match Message::decode(datagram) {
             Some(Message::Offer { number, service, admission, datagram }) => {
@@ -269,7 +283,7 @@
         due.into_iter().flatten().min()
     }
 
-    /// Does what is due at `now`.
+    /// Does everything that is due at `now`.
     pub fn handle_timeout(&mut self, now: Duration) {
         while let Some(id) = self.flows.pop_due(now) {
             self.handle_phase_timeout(now, id);
@@ -291,12 +305,12 @@
         }
     }
 
-    /// What was measured so far.
+    /// The latencies measured so far.
     pub fn histograms(&self) -> Vec<Histogram> {
         self.latency.histograms()
     }
 
-    /// What was counted so far, with the gauges of now.
+    /// The counters so far, and the current gauges.
     pub fn counters(&self, now: Duration) -> CarriedAgentCounters {
         CarriedAgentCounters {
             flows: self.flows.busy() as u64,
@@ -308,7 +322,7 @@
             configuration_revision: self.standing.configuration.version.position.revision,
             store_era: self.standing.newest_heard().position.era,
             configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
-            work_microseconds: u64::from(self.work.mean_us()),
+            work_microseconds: u64::from(self.work_meter.mean_us()),
             ..self.counters
         }
     }
--- a/crates/carried/src/agent/offers.rs
+++ b/crates/carried/src/agent/offers.rs
@@ -1,4 +1,4 @@
-//! New flows: taken or declined, with one answer an offer.
+//! Accepts or declines new flows that balancers offer, with one final answer for each offer.
 
 use super::*;
 
@@ -13,7 +13,7 @@
         datagram: Vec<u8>,
     ) {
         self.counters.offers_received += 1;
-        if now < self.stale_until {
+        if now < self.ignore_offers_until {
             self.counters.offers_stale += 1;
             return;
         }
@@ -24,18 +24,20 @@
         let flow = segment.flow();
         if let Some(id) = self.flows.find(&flow) {
             match self.flows.get_mut(id).map(|flow| &mut flow.body) {
-                // A copy, perhaps through another balancer: the back end answers it again.
+                // A retransmission, perhaps through another balancer: the back end answers it
+                // again.
                 Some(body) if body.accepts_retransmitted_syn(&segment) => {
                     body.balancer = from;
                     self.set_phase(now, id, Phase::Opening { number });
                     self.outputs.push_back(Output::ToBackend(datagram));
                     return;
                 }
-                // A copy that comes late, through a balancer that is behind: the flow is open, or over.
+                // A retransmission that was delayed at a balancer: the flow is open or already
+                // over.
                 Some(body) if body.was_opened_by_syn(segment.sequence) => {
                     return self.send_placed(now, from, number);
                 }
-                // The caller uses its port again.
+                // The caller reuses its port for a new flow.
                 _ => self.remove(now, id),
             }
         }
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Tells a balancer that the flow of its offer lives here.
+    /// Tells a balancer that the back end has the flow of its offer.
     pub(super) fn send_placed(&mut self, now: Duration, to: SocketAddrV4, number: u64) {
         let message = Message::Placed { number, report: self.report(now) };
         self.outputs.push_back(Output::ToPeer { to, message });
@@ -84,15 +86,16 @@
         if let Some(reason) = self.reason_to_decline_all(now, is_last_resort) {
             return Some(reason);
         }
-        // It waits for as long as there is no room.
+        // The flow may wait until there is room, so the limits below do not apply.
         if matches!(admission, Admission::Line { .. }) {
             return None;
         }
         if self.cold_allowance(now) == Some(0) {
             return Some(DeclineReason::Cold);
         }
-        let breaks = self.breaker_limit(now).is_some_and(|limit| self.in_flight >= limit);
-        if breaks && !is_last_resort {
+        let exceeds_breaker_limit =
+            self.breaker_limit(now).is_some_and(|limit| self.in_flight >= limit);
+        if exceeds_breaker_limit && !is_last_resort {
             return Some(DeclineReason::Failing);
         }
         let capacity = u32::from(self.backend.capacity());
@@ -103,13 +106,13 @@
             Admission::Line { .. } => u32::MAX,
             Admission::Within(from_ms) | Admission::Failing(from_ms) => {
                 let budget = Duration::from_millis(u64::from(from_ms));
-                self.work.admission_limit(capacity, budget)
+                self.work_meter.admission_limit(capacity, budget)
             }
         };
         (self.in_flight >= limit).then_some(DeclineReason::Busy)
     }
 
-    /// Why no new flow at all is taken just now.
+    /// Why no new flow can be accepted now, whatever its admission; `None` if one can.
     pub(super) fn reason_to_decline_all(
         &self,
         now: Duration,
--- a/crates/carried/src/agent/outcomes.rs
+++ b/crates/carried/src/agent/outcomes.rs
@@ -1,23 +1,23 @@
-//! What became of requests, and the circuit breaker that it moves.
+//! The outcomes of requests, and how they drive the circuit breaker.
 
 use super::*;
 use crate::breaker::BreakerState;
 use crate::segment::AnswerOutcome;
 
-/// What became of a request at the back end.
+/// The outcome of a request at the back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestOutcome {
-    /// It was answered.
+    /// The back end answered it.
     Answered,
-    /// The back end says that it failed.
+    /// The back end answered that it failed.
     Failed,
-    /// The back end did not take it though a slot was free.
+    /// The back end refused it although a slot was free.
     Refused,
-    /// The back end did not take it, having more than its slots hold.
+    /// The back end refused it because it had more requests than slots.
     Shed,
-    /// The back end broke the flow off.
+    /// The back end closed or reset the flow before it answered.
     Aborted,
-    /// No answer came in many times the time that answers take.
+    /// No answer arrived within several times the usual response time.
     Overdue,
 }
 
@@ -33,14 +33,15 @@
         }
     }
 
-    /// Whether it speaks against the back end.
+    /// Whether it counts as a failure of the back end.
     fn is_failure(self) -> bool {
         !matches!(self, RequestOutcome::Answered | RequestOutcome::Shed)
     }
 }
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// What the first packet of an answer says of a request that began with so many in the system.
+    /// The outcome by the first packet of the answer. `in_system` flows occupied the back end when
+    /// the request began.
     pub(super) fn response_outcome(&self, in_system: u32, datagram: &[u8]) -> RequestOutcome {
         let is_crowded = in_system > u32::from(self.backend.capacity());
         match self.format.answer_outcome(datagram) {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Moves the breaker by a request's outcome.
+    /// Feeds a request's outcome to the circuit breaker, and counts and logs failures.
     pub(super) fn note_outcome(&mut self, now: Duration, flow: &FlowKey, outcome: RequestOutcome) {
         let failed = outcome.is_failure();
         let has_breaker = self.settings.policies.has(Policy::Breaker);
@@ -67,7 +68,8 @@
         self.announce_condition_change(now, outcome.name());
     }
 
-    /// Most requests that the breaker lets wait; `None` while it is closed.
+    /// Maximum number of flows that may occupy the back end under the circuit breaker; `None` while
+    /// it is closed.
     pub(super) fn breaker_limit(&self, now: Duration) -> Option<u32> {
         match self.breaker.state(now) {
             BreakerState::Closed => None,
--- a/crates/carried/src/agent/packets.rs
+++ b/crates/carried/src/agent/packets.rs
@@ -1,11 +1,11 @@
-//! Packets of flows, to the back end and from it.
+//! Forwards packets of flows to the back end and from it, and follows the flows by them.
 
 use super::*;
 use crate::message::Word;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// Passes a caller's packet to the back end when its flow lives here, or may live here as far
-    /// as this agent knows; otherwise it goes back to the balancer.
+    /// Passes a caller's packet to the back end if the back end holds its flow, or may hold it as
+    /// far as this agent knows; otherwise returns it to the balancer.
     pub(super) fn deliver(&mut self, now: Duration, from: SocketAddrV4, datagram: Vec<u8>) {
         let Ok(segment) = self.format.parse(&datagram) else {
             self.counters.packets_malformed += 1;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Tells which request a flow carries, where its first packet says so.
+    /// Logs the identifier of a request if its first packet carries one.
     fn log_request(&self, balancer: SocketAddrV4, flow: &FlowKey, datagram: &[u8]) {
         if let Some(request) = self.format.request_id(datagram) {
             log::info!(
@@ -59,8 +59,9 @@
         self.outputs.push_back(Output::ToPeer { to, message: Message::NotHeld { datagram } });
     }
 
-    /// An agent that has not run for as long as a flow may last cannot know that a flow does not
-    /// live here; its back end can.
+    /// Whether the back end may hold a flow that this agent does not know, because an earlier
+    /// process of the agent placed it. Only possible until this process has run for the maximum age
+    /// of a flow, and not for flows that the back end has shown not to hold.
     pub(super) fn may_have_forgotten(&self, now: Duration, flow: &FlowKey) -> bool {
         let is_young = now < self.settings.max_flow_age;
         self.may_miss_flows && is_young && !self.absent_flows.contains(flow)
@@ -78,7 +79,7 @@
         id
     }
 
-    /// Follows what a caller's packet says about its flow.
+    /// Updates a flow by a packet from its caller.
     pub(super) fn track_caller_packet(&mut self, now: Duration, id: FlowId, segment: &Segment) {
         let Some(flow) = self.flows.get_mut(id) else { return };
         let body = &mut flow.body;
@@ -91,7 +92,7 @@
         }
         if segment.payload_bytes == 0 {
             if body.phase == Phase::SynAcked {
-                // The request follows at once.
+                // The caller has acknowledged the SYN-ACK; the timeout for its request starts anew.
                 body.phase_since = now;
             }
             return;
@@ -123,7 +124,8 @@
         self.probe.note_activity();
         let flow = segment.flow_of_answer();
         if segment.resets && self.is_on_trial(&flow) {
-            // The back end speaks of an earlier flow between the same addresses.
+            // The back end does not hold the flow on trial. Its reset concerns an earlier flow
+            // between the same addresses and must not reach the caller.
             return self.end_trial(now, flow);
         }
         self.counters.packets_answered += 1;
@@ -142,7 +144,7 @@
         known.is_some_and(|flow| flow.body.phase == Phase::OnTrial)
     }
 
-    /// The back end does not hold the flow of a packet that it was given on trial.
+    /// Ends a trial: the back end does not hold the flow.
     pub(super) fn end_trial(&mut self, now: Duration, flow: FlowKey) {
         let Some(id) = self.flows.find(&flow) else { return };
         if let Some(balancer) = self.flows.get(id).map(|flow| flow.body.balancer) {
@@ -152,10 +154,10 @@
         self.remember_absent(flow);
     }
 
-    /// A flow that the back end speaks of and this agent has forgotten.
+    /// Adds a flow that this agent does not know but its back end has sent a packet of.
     pub(super) fn learn_flow(&mut self, now: Duration, flow: FlowKey, segment: &Segment) {
-        let me = self.settings.node.address;
-        let mut body = CarriedFlow::new(now, me, Phase::Idle);
+        let own_address = self.settings.node.address;
+        let mut body = CarriedFlow::new(now, own_address, Phase::Idle);
         body.backend_data_end = Some(segment.end());
         let id = self.flows.insert(flow, body);
         self.set_phase(now, id, Phase::Idle);
@@ -169,7 +171,7 @@
         datagram: &[u8],
     ) {
         let Some(flow) = self.flows.get_mut(id) else { return };
-        let is_early = flow.body.is_fin_before_data(segment);
+        let is_overtaking = flow.body.is_overtaking_fin(segment);
         flow.body.backend_data_end = Some(segment.end());
         flow.body.backend_closed |= segment.finishes || segment.resets;
         let (balancer, phase, since) = (flow.body.balancer, flow.body.phase, flow.body.phase_since);
@@ -184,13 +186,13 @@
                 self.latency.answer.observe(now.saturating_sub(since));
                 let outcome = self.response_outcome(in_system, datagram);
                 if outcome == RequestOutcome::Answered {
-                    self.work.record(now);
+                    self.work_meter.record(now);
                 }
                 self.note_outcome(now, &key, outcome);
                 self.set_phase(now, id, Phase::Idle);
             }
-            // Packets overtake each other: the answer that this one stands behind is to come.
-            Phase::AwaitingResponse { .. } if is_early => return,
+            // Packets overtook each other: the answer sent before this one is still to arrive.
+            Phase::AwaitingResponse { .. } if is_overtaking => return,
             Phase::AwaitingResponse { .. }
                 if (segment.resets || segment.finishes) && !caller_closed =>
             {
@@ -208,7 +210,7 @@
         }
     }
 
-    /// The back end did not take a packet.
+    /// Handles a packet that the back end did not accept and has returned.
     pub(super) fn handle_returned(&mut self, now: Duration, segment: &Segment, datagram: Vec<u8>) {
         self.counters.packets_returned += 1;
         self.probe.note_activity();
@@ -221,8 +223,8 @@
                 self.remove(now, id);
                 self.decline(now, balancer, number, &flow, DeclineReason::Returned);
             }
-            // A packet of an earlier flow between the same addresses, which came back late, or of
-            // one that the back end has ended.
+            // The packet belongs to an earlier flow between the same addresses and was returned
+            // late, or to a flow that the back end has closed.
             Phase::Opening { .. } | Phase::Closing => {}
             _ if entry.body.backend_closed => {}
             _ if !entry.body.acknowledges_backend_data(segment) => {}
--- a/crates/carried/src/agent/phases.rs
+++ b/crates/carried/src/agent/phases.rs
@@ -1,4 +1,4 @@
-//! Where each flow stands, and what is due when.
+//! Phases of flows, and the timeouts that end them.
 
 use super::*;
 
@@ -25,15 +25,17 @@
             Phase::Overdue => OVERDUE_TIMEOUT,
             Phase::Idle | Phase::OnTrial => self.idle_timeout(),
             Phase::Closing if caller_closed => CLOSING_TTL,
-            // The caller may not have heard of the end, and is not to be told that nobody knows it.
+            // The caller may not have received the back end's FIN yet. If the flow were forgotten
+            // now, its next packet would get a reset.
             Phase::Closing => self.idle_timeout(),
         }
     }
 
-    /// After how long a request that began with so many in the system is overdue.
+    /// How long a request may take before it is overdue, if `in_system` flows occupied the back end
+    /// when it began.
     fn response_timeout(&self, in_system: u32) -> Duration {
         let capacity = u32::from(self.backend.capacity());
-        let expected = self.work.expected(in_system, capacity);
+        let expected = self.work_meter.expected(in_system, capacity);
         (expected * RESPONSE_TIMEOUT_FACTOR).clamp(MIN_RESPONSE_TIMEOUT, MAX_RESPONSE_TIMEOUT)
     }
 
@@ -41,13 +43,17 @@
         self.standing.idle_timeout(self.settings.max_flow_age)
     }
 
-    /// Has the meter learn when a request begins or ends its work.
+    /// Updates the number of requests in work when a flow's change of phase begins or ends one.
     fn note_work(&mut self, now: Duration, before: Phase, after: Option<Phase>) {
         let is_at_work = |phase: Phase| matches!(phase, Phase::AwaitingResponse { .. });
         let (was, is) = (is_at_work(before), after.is_some_and(is_at_work));
         if was != is {
-            self.working = self.working + u32::from(is) - u32::from(was);
-            self.work.note_working(now, self.working, u32::from(self.backend.capacity()));
+            self.awaiting_response = self.awaiting_response + u32::from(is) - u32::from(was);
+            self.work_meter.note_working(
+                now,
+                self.awaiting_response,
+                u32::from(self.backend.capacity()),
+            );
         }
     }
 
--- a/crates/carried/src/agent/reports.rs
+++ b/crates/carried/src/agent/reports.rs
@@ -1,20 +1,22 @@
-//! What the back end, or whoever writes in its name, says of itself.
+//! Handles what the back end, or a sender that claims to be it, reports about itself.
 
 use super::*;
 use crate::backend::{BackendReport, ReportOutcome};
 use crate::incarnation::Incarnation;
 
-/// A back end whose very first heartbeat is heard here began beside this process.
+/// Sequence number of a back end's first heartbeat. A back end whose first heartbeat this process
+/// receives has started while this process ran.
 const FIRST_SEQUENCE: u64 = 1;
-/// One that lost power with this process's machine sends its first heartbeat before the process
-/// listens; the next ones, which follow at once, are heard ...
+/// If back end and agent restart together, after a power failure of the machine, the back end sends
+/// its first heartbeat before this process listens. The next ones follow at once: one with a
+/// sequence number up to this ...
 const MAX_EARLY_SEQUENCE: u64 = 3;
-/// ... so soon after the process's start. A back end that has run before sends one about each
-/// second, so that one in seven is heard so soon.
+/// ... arrives within this time after the process's start. A back end that was running before sends
+/// a heartbeat about every second, so about one in seven of those is heard this early too.
 const EARLY_REPORT_WINDOW: Duration = Duration::from_millis(150);
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// Takes a heartbeat of the back end.
+    /// Handles a heartbeat of the back end.
     pub fn take_report(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
         self.counters.backend_reports += 1;
         let is_first = !self.backend.has_reported();
@@ -57,7 +59,8 @@
         }
         if matches!(outcome, ReportOutcome::Started | ReportOutcome::Updated) {
             self.silent_until = None;
-            // While the zone is evacuated it may turn cold at any moment.
+            // While its zone is evacuated the back end receives no flows and may turn cold at any
+            // time.
             self.may_be_cold = self.is_evacuated();
             self.probe.note_activity();
         }
@@ -66,52 +69,55 @@
         outcome
     }
 
-    /// Counts a heartbeat of another service's back end; the first one of each writer is told.
+    /// Counts a heartbeat that names another service than this agent's. Logs only the first one in
+    /// a row from the same sender.
     fn note_foreign_report(&mut self, report: &BackendReport) {
         self.counters.backend_reports_foreign += 1;
-        if self.foreign_writer.as_ref() != Some(&report.incarnation.id) {
+        if self.last_foreign_sender.as_ref() != Some(&report.incarnation.id) {
             log::warn!(
                 backend:% = report.incarnation, says = report.service.as_str(),
                 serves = self.backend.service();
                 "backend_report_foreign"
             );
-            self.foreign_writer = Some(report.incarnation.id.clone());
+            self.last_foreign_sender = Some(report.incarnation.id.clone());
         }
     }
 
-    /// Whether the back end whose first heartbeat this is seems to have started beside this process.
+    /// Whether the back end, whose first heartbeat this is, seems to have started together with
+    /// this process.
     fn seems_started_together(&self, now: Duration, report: &BackendReport) -> bool {
         let is_cold = !report.warm_up_left.is_zero();
         is_cold && report.sequence <= MAX_EARLY_SEQUENCE && now <= EARLY_REPORT_WINDOW
     }
 
-    /// Notes that a back end's word could not be read.
+    /// Counts a heartbeat or departure notice of a back end that could not be decoded.
     pub fn note_unreadable(&mut self) {
         self.counters.backend_reports_unreadable += 1;
     }
 
-    /// Takes the back end's word that it leaves.
+    /// Handles the back end's departure notice.
     pub fn take_departure(&mut self, now: Duration, gone: &Incarnation) {
         self.backend.take_departure(gone);
         self.announce_condition_change(now, &gone.id);
         self.serve_wait_queue(now);
     }
 
-    /// Takes the answer to a question about the back end's health.
+    /// Handles the result of a health check of the back end.
     pub fn take_health(&mut self, now: Duration, is_healthy: bool) {
         self.backend.take_health(is_healthy);
         self.announce_condition_change(now, "asked");
     }
 
-    /// The back end has started anew. Flows of its earlier start are over, but some may have opened
-    /// since, before this heartbeat came: the back end tells which it holds.
+    /// Handles a new start of the back end. Flows of its earlier start are over, but some may have
+    /// opened since the new start, before this heartbeat arrived. So all flows go on trial: the
+    /// back end's reaction to their next packets shows which of them it holds.
     fn put_flows_on_trial(&mut self, now: Duration) {
-        self.work = WorkMeter::default();
+        self.work_meter = WorkMeter::default();
         self.breaker = Breaker::new();
         self.decline_all_waiting(now, DeclineReason::NotAccepting);
         for id in self.flows.ids() {
             let phase = self.flows.get(id).map(|flow| flow.body.phase);
-            // One that is being opened is answered by this start or by none.
+            // If a flow is being opened, only the new start can still answer its SYN.
             if !matches!(phase, Some(Phase::Opening { .. })) {
                 self.set_phase(now, id, Phase::OnTrial);
             }
--- a/crates/carried/src/agent/wait_queue.rs
+++ b/crates/carried/src/agent/wait_queue.rs
@@ -1,78 +1,87 @@
-//! New flows that wait beside a back end until it has room.
+//! The wait queue: new flows that wait at the agent until its back end has room.
 //!
-//! A caller whose opening packet is refused asks again within milliseconds and has soon used up its
-//! tries; one whose opening packet waits is answered as soon as there is room, as long as its try
-//! lasts. A flow waits at the agent, since only the agent knows when a request has ended: one offer
-//! and two answers a flow, where asking around would cost an offer for each look.
+//! A caller whose SYN is refused tries again within milliseconds and soon has no attempts left. If
+//! its SYN waits instead, the caller is answered as soon as there is room, until its attempt times
+//! out. Flows wait at the agent because only the agent knows when a request has ended. This costs
+//! one offer and two replies per flow, whereas a balancer that polled agents would send one offer
+//! per poll.
 //!
 //! Invariants:
-//! - A flow that waits has never been at work, and leaves the line once: it is given to the back end,
-//!   or its balancer is told that it was declined.
-//! - No more flows wait than are served until their callers' tries are over, as far as is known: the one
-//!   that has waited longest is declined at once when one more comes.
-//! - The caller that came last is served first, but for [`PRIORITY_STEP`] a step of urgency. When there
-//!   is room for all the order does not matter. When there is not, whoever is served first come, first
-//!   served has waited until the end of its try, as all others have: answers then miss their callers.
+//! - A waiting flow has never reached the back end, and it leaves the queue once: it is passed to
+//!   the back end, or declined with a message to its balancer.
+//! - No more flows wait than can be served before their callers' attempts time out, as far as that
+//!   is known: when one more arrives, the one that has waited longest is declined at once.
+//! - The flow that arrived last is served first (LIFO), except that each step of priority counts as
+//!   [`PRIORITY_STEP`]. When there is room for all, the order does not matter. When there is not,
+//!   FIFO would serve every flow near the end of its caller's attempt, too late for the answer to
+//!   arrive.
 
 use super::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// A route that is one step less urgent counts as if its callers had come so much earlier: half the
-/// shortest aim of callers. Four steps stay within the 1.4 s of a caller's try.
+/// A flow of a route that is one step less urgent is ordered as if it had arrived this much
+/// earlier: half of the shortest response time that any route aims for. Four steps stay well within
+/// the 1.4 s for which a caller's attempt lasts.
 const PRIORITY_STEP: Duration = Duration::from_millis(60);
-/// Steps that are told apart.
+/// Routes that are less urgent than this many steps are treated alike.
 const MAX_PRIORITY_STEPS: u8 = 4;
-/// Work assumed before any request was measured.
+/// Time that a request keeps a slot, assumed until one was measured.
 const ASSUMED_REQUEST_TIME: Duration = Duration::from_millis(50);
-/// Flows that wait at one agent, at most: each keeps its opening packet.
+/// Maximum number of flows that wait at one agent; bounds memory, since each keeps its SYN.
 const MAX_WAITING_FLOWS: usize = 512;
-/// Flows that may wait for each slot however few are served: as much as the work of one differs.
+/// Flows that may wait per slot however low the service rate is, since the time that single
+/// requests take differs by about this factor.
 const MIN_WAITING_PER_SLOT: usize = 2;
-/// How long a flow may wait: its caller's try of 1.4 s, less the ways.
+/// How long a flow may wait: the 1.4 s of its caller's attempt, less the network round trip.
 const MAX_WAIT: Duration = Duration::from_millis(1_300);
-/// While nothing is known of the rate, whoever waits in vain for one try may wait for the two others: a
-/// caller that is refused at once has soon used up all three. With the time of one try 2.7 % of a
-/// day's requests failed after a return, with that of all three 1.8 %.
+/// Attempts that a caller makes. While the service rate is unknown, the queue holds as many flows
+/// as are served within all of them, since a flow that waits in vain during one attempt may wait
+/// again during the next. A queue sized for one attempt fails more requests after a service comes
+/// back: callers that are declined at once soon use up all three.
 const ATTEMPTS_PER_CALLER: f64 = 3.0;
-/// What was served in this time tells what will be: as long as callers go on with all their tries. After
-/// 1 s new flows still take most slots that are free a moment later: worth of a day 0.84 -> 0.78.
+/// Window over which the service rate of the queue is measured: the time for which a caller goes on
+/// with all its attempts. 1 s is too short: new flows still take most of the slots then, which
+/// waiting flows get a moment later, so the measured rate would be too low.
 const RATE_WINDOW: Duration = Duration::from_secs(3);
-/// Requests beyond its slots that the back end has while flows wait: their handshakes, two ways to the
-/// caller, overlap with the work of others, so that no slot rests meanwhile.
+/// Flows beyond its slots that the back end is given while others wait. Their handshakes take a
+/// network round trip to the caller, which overlaps with the requests of others, so that no slot is
+/// idle meanwhile.
 const HANDSHAKING_REQUESTS: u32 = 1;
 
-/// A flow that waits.
+/// A new flow that waits, or is about to be accepted.
 #[derive(Debug)]
 pub(super) struct WaitingFlow {
     pub(super) flow: FlowKey,
-    /// The offer's number at the balancer.
+    /// The number of the balancer's offer.
     pub(super) number: u64,
-    /// The balancer that offered the flow last.
+    /// The balancer that made the latest offer of the flow.
     pub(super) balancer: SocketAddrV4,
-    /// The opening packet.
+    /// The SYN packet.
     pub(super) datagram: Vec<u8>,
-    /// Sequence number of the opening packet.
+    /// Sequence number of the SYN.
     pub(super) syn_sequence: u32,
-    /// Its caller's try lasts no longer.
+    /// When the caller's attempt times out.
     pub(super) expires_at: Duration,
     pub(super) queued_at: Duration,
 }
 
-/// The order in which flows are served: the one whose try lasts longest first.
+/// The order in which flows are served: the one whose attempt times out last comes first. The
+/// number is a serial that makes keys unique.
 type QueueKey = (Reverse<Duration>, u64);
 
-/// The flows that wait.
+/// The flows that wait, in the order in which they are served.
 #[derive(Debug, Default)]
 pub(super) struct WaitQueue {
     entries: BTreeMap<QueueKey, WaitingFlow>,
     keys_by_flow: HashMap<FlowKey, QueueKey>,
-    /// When flows expire, the next one first.
+    /// Flows by their expiry, the next one first, with their serial.
     expiries: BTreeMap<(Duration, u64), FlowKey>,
     last_serial: u64,
-    /// Since when somebody has waited all the while.
+    /// Since when the queue has not been empty.
     non_empty_since: Duration,
-    /// When flows were served from the line, within the last [`RATE_SPAN`].
+    /// Times within the last [`RATE_WINDOW`] at which flows of the queue were passed to the back
+    /// end.
     served: VecDeque<Duration>,
 }
 
@@ -85,7 +94,7 @@
         self.entries.is_empty()
     }
 
-    /// When the next flow expires.
+    /// When the next waiting flow expires.
     pub(super) fn next_expiry(&self) -> Option<Duration> {
         self.expiries.first_key_value().map(|((at, _), _)| *at)
     }
@@ -101,19 +110,20 @@
             self.served.clear();
         }
         self.last_serial += 1;
-        let handicap = PRIORITY_STEP * u32::from(priority.min(MAX_PRIORITY_STEPS));
-        let key = (Reverse(entry.expires_at.saturating_sub(handicap)), self.last_serial);
+        let penalty = PRIORITY_STEP * u32::from(priority.min(MAX_PRIORITY_STEPS));
+        let key = (Reverse(entry.expires_at.saturating_sub(penalty)), self.last_serial);
         self.keys_by_flow.insert(entry.flow, key);
         self.expiries.insert((entry.expires_at, self.last_serial), entry.flow);
         self.entries.insert(key, entry);
     }
 
-    /// A flow was given to the back end.
+    /// Records that a flow of the queue was passed to the back end.
     fn note_served(&mut self, now: Duration) {
         self.served.push_back(now);
     }
 
-    /// Flows that are served from the line in a second; `None` while that is not known.
+    /// Flows per second that are served from the queue; `None` until that was measured over the
+    /// whole window.
     fn rate(&mut self, now: Duration) -> Option<f64> {
         while self.served.front().is_some_and(|at| now.saturating_sub(*at) >= RATE_WINDOW) {
             self.served.pop_front();
@@ -122,13 +132,13 @@
         is_known.then(|| self.served.len() as f64 / RATE_WINDOW.as_secs_f64())
     }
 
-    /// Takes the flow that has waited longest.
+    /// Removes the flow whose attempt times out first.
     fn pop_oldest(&mut self) -> Option<WaitingFlow> {
         let flow = *self.expiries.first_key_value()?.1;
         self.remove(&flow)
     }
 
-    /// Takes the flow that is served next.
+    /// Removes the flow that is to be served next.
     pub(super) fn pop(&mut self) -> Option<WaitingFlow> {
         let key = *self.entries.first_key_value()?.0;
         self.take(key)
@@ -139,7 +149,7 @@
         self.take(key)
     }
 
-    /// Takes a flow that has expired.
+    /// Removes a flow that has expired, if there is one.
     fn pop_expired(&mut self, now: Duration) -> Option<WaitingFlow> {
         let (_, flow) = self.expiries.first_key_value().filter(|((at, _), _)| *at <= now)?;
         let flow = *flow;
@@ -154,40 +164,40 @@
     }
 }
 
-/// How many flows may wait where each takes `work` of one of `capacity` slots and `rate` a second were
-/// served from the line, as far as that is known: as many as are served until their callers' tries are
-/// over. All others surely are not, and are told at once.
+/// How many flows may wait if each keeps one of `capacity` slots for `work`, and `rate` flows per
+/// second were served from the queue, if known: as many as can be served before their callers'
+/// attempts time out. All others could not be served and are declined at once.
 ///
-/// Load: a service is back after 1.5 s, 4,400 callers wait for it and 1,700 come each second, 2,800 are
-/// worked off; nothing is known of the rate then, and it may be all of the back end's. In an overload
-/// that lasts, new flows that can be answered in time take nearly all slots; few are served from the
-/// line, and few wait for nothing.
+/// The limit serves two load patterns. When a service comes back after 1.5 s, 4,400 callers wait
+/// for it, 1,700 arrive per second and 2,800 per second are served; the queue's rate is unknown
+/// then and may be all of the back end's. In a lasting overload, new flows that can be answered in
+/// time take nearly all slots: few flows are served from the queue, so only few may wait in vain.
 pub(super) fn max_waiting(capacity: u16, work: Duration, rate: Option<f64>) -> usize {
-    let full = f64::from(capacity.max(1)) / work.max(Duration::from_millis(1)).as_secs_f64();
-    let rate = rate.map_or(full * ATTEMPTS_PER_CALLER, |rate| rate.min(full));
+    let full_rate = f64::from(capacity.max(1)) / work.max(Duration::from_millis(1)).as_secs_f64();
+    let rate = rate.map_or(full_rate * ATTEMPTS_PER_CALLER, |rate| rate.min(full_rate));
     let served = rate * MAX_WAIT.as_secs_f64();
     (served as usize).clamp(usize::from(capacity) * MIN_WAITING_PER_SLOT, MAX_WAITING_FLOWS)
 }
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// Whether the back end has room for a flow that waits. New flows that can still be answered in
-    /// time are taken by another limit, and go first for that.
+    /// Whether the back end has room for a waiting flow. New flows that can still be answered in
+    /// time are accepted up to a higher limit, [`Self::can_answer_within`], and so take precedence.
     fn has_room_for_waiting(&self, now: Duration) -> bool {
         let limit = u32::from(self.backend.capacity()) + HANDSHAKING_REQUESTS;
         let limit = self.breaker_limit(now).map_or(limit, |breaker_limit| breaker_limit.min(limit));
         self.in_flight < limit && self.cold_allowance(now) != Some(0)
     }
 
-    /// Whether a request that comes now would be answered within `within`.
+    /// Whether a request that arrives now would be answered within `within`.
     fn can_answer_within(&self, now: Duration, within: Duration) -> bool {
-        let limit = self.work.admission_limit(u32::from(self.backend.capacity()), within);
+        let limit = self.work_meter.admission_limit(u32::from(self.backend.capacity()), within);
         !within.is_zero()
             && self.in_flight < limit
             && self.cold_allowance(now) != Some(0)
             && self.breaker_limit(now).is_none_or(|limit| self.in_flight < limit)
     }
 
-    /// Takes a flow at once or has it wait.
+    /// Accepts a flow at once, or queues it.
     pub(super) fn accept_or_queue(
         &mut self,
         now: Duration,
@@ -200,7 +210,7 @@
         {
             return self.accept_flow(now, entry);
         }
-        let work = match self.work.mean_us() {
+        let work = match self.work_meter.mean_us() {
             0 => ASSUMED_REQUEST_TIME,
             mean => Duration::from_micros(u64::from(mean)),
         };
@@ -216,9 +226,10 @@
         }
     }
 
-    /// Whether an offer is a copy, perhaps through another balancer, of one that goes on waiting: its
-    /// place and the end of its try stay as they are, and the balancer that has it now is told what
-    /// becomes of it.
+    /// Handles an offer of a flow that is already waiting, whose SYN the caller has retransmitted,
+    /// perhaps through another balancer. `true` if the flow goes on waiting: its position and
+    /// expiry stay as they are, and the balancer of this offer receives the result. Otherwise the
+    /// flow is removed from the queue, and the offer is handled like a first one.
     pub(super) fn update_waiting(
         &mut self,
         now: Duration,
@@ -240,7 +251,7 @@
         true
     }
 
-    /// Gives the back end the flows that it has room for, and declines those that wait in vain.
+    /// Passes waiting flows to the back end as far as it has room, and declines expired ones.
     pub(super) fn serve_wait_queue(&mut self, now: Duration) {
         if self.wait_queue.is_empty() {
             return;
@@ -264,7 +275,7 @@
         }
     }
 
-    /// Whether another copy of its opening packet has opened a flow that waits.
+    /// Whether a waiting flow was opened meanwhile by another copy of its SYN.
     fn is_opened_already(&self, entry: &WaitingFlow) -> bool {
         let known = self.flows.find(&entry.flow).and_then(|id| self.flows.get(id));
         known.is_some_and(|flow| flow.body.was_opened_by_syn(entry.syn_sequence))
@@ -277,11 +288,12 @@
         }
     }
 
-    /// Passes a flow's opening packet to the back end.
+    /// Accepts a flow: passes its SYN to the back end.
     pub(super) fn accept_flow(&mut self, now: Duration, entry: WaitingFlow) {
         self.counters.offers_taken += 1;
         self.cold_rate_limit.note_admitted(now);
-        // While it waited its back end may have spoken of an earlier flow of the port.
+        // While this flow waited, the back end may have sent a packet of an earlier flow of the
+        // same port, which was added to the table.
         if let Some(id) = self.flows.find(&entry.flow) {
             self.remove(now, id);
         }
