--- a/crates/carried/src/agent/backend_probe.rs
+++ b/crates/carried/src/agent/backend_probe.rs
@@ -21,8 +21,8 @@
 /// Consecutive probes without any answer after which the back end counts as ended, if the agent has
 /// received nothing from it since its own start: no back end runs on the machine any more. A live
 /// one on the same machine would have sent a heartbeat, and its port accepts connections even while
-/// the process is stalled. At 150 ms a probe this takes 0.9 s. Until then all lookups of flows
-/// that the back end held are in vain; with 91 machines that failed 2,500 requests.
+/// the process is stalled. At 150 ms a probe this takes 0.9 s. Until then lookups of flows
+/// that the back end held end without a result; with 91 machines this failed 2,500 requests.
 const MAX_TIMEOUTS: u32 = 4;
 /// Minimum time until the next probe of a back end that may be alive.
 const ALIVE_INTERVAL: Duration = Duration::from_secs(1);
@@ -86,11 +86,11 @@
         if self.has_ended {
             return None;
         }
-        let doubts = match self.has_received {
+        let due_by_silence = match self.has_received {
             true => self.unanswered_since.map(|since| since + QUIET_TIMEOUT),
             false => Some(FIRST_PROBE_DELAY),
         };
-        let due = if self.is_urgent { Some(self.next_at) } else { doubts };
+        let due = if self.is_urgent { Some(self.next_at) } else { due_by_silence };
         let earliest = self.sent_at.map_or(self.next_at, |at| at + PROBE_TIMEOUT);
         due.map(|due| due.max(earliest))
     }
@@ -109,6 +109,7 @@
         next.filter(|_| self.settings.policies.has(Policy::Probes))
     }
 
+    /// Requests a probe of the back end if one is due.
     pub(super) fn probe_if_due(&mut self, now: Duration) {
         if self.next_probe().is_some_and(|at| at <= now) {
             self.probe.sent_at = Some(now);
--- a/crates/carried/src/agent/cluster_state.rs
+++ b/crates/carried/src/agent/cluster_state.rs
@@ -16,13 +16,13 @@
         }
     }
 
-    /// Adds nodes that another source has named; none of them has sent a message here yet.
+    /// Adds nodes that other nodes or the shared store have named.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, crate::NodeRole)]) {
         self.standing.learn(now, members);
     }
 
-    /// Puts a configuration in force where it is newer than the current one; `true` when its
-    /// content differs.
+    /// Merges a configuration into the one in force, unless the version in force covers it already;
+    /// `true` when this changes the content.
     pub fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration) -> bool {
         let was_evacuated = self.is_evacuated();
         match self.standing.adopt(now, configuration) {
--- a/crates/carried/src/agent/outcomes.rs
+++ b/crates/carried/src/agent/outcomes.rs
@@ -17,7 +17,7 @@
     Shed,
     /// The back end closed or reset the flow before it answered.
     Aborted,
-    /// No answer arrived within several times the usual response time.
+    /// No answer arrived within many times the usual response time.
     Overdue,
 }
 
--- a/crates/carried/src/agent/wait_queue.rs
+++ b/crates/carried/src/agent/wait_queue.rs
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Whether a waiting flow was opened meanwhile by another copy of its SYN.
+    /// Whether a waiting flow was opened meanwhile by a retransmission of its SYN.
     fn is_opened_already(&self, entry: &WaitingFlow) -> bool {
         let known = self.flows.find(&entry.flow).and_then(|id| self.flows.get(id));
         known.is_some_and(|flow| flow.body.was_opened_by_syn(entry.syn_sequence))
