--- a/crates/app/src/demo/world.rs
+++ b/crates/app/src/demo/world.rs
@@ -17,7 +17,7 @@
 use loftdrift_standin::callers::{self, CallerEvent, CallerSettings};
 use loftdrift_standin::fabric::{self, FabricSettings, Listener, ListenerSocket};
 use loftdrift_standin::platform::{self, Faults};
-use loftdrift_store::{Machine, MachineListClient, MachineRole, MachineState, StoreClient, follow};
+use loftdrift_store::{Machine, MachineListClient, MachineRole, MachineState, StoreClient};
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -257,7 +257,7 @@
         let (published, configuration) = watch::channel(None);
         let seed = self.seed.wrapping_add(self.daemon_stores.len() as u64);
         let follower = self.tasks.spawn(async move {
-            follow(store, seed, published).await;
+            loftdrift_store::follow_configuration(store, seed, published).await;
             Ok(())
         });
         (configuration, follower)
--- a/crates/app/src/process.rs
+++ b/crates/app/src/process.rs
@@ -9,7 +9,7 @@
 use loftdrift_configuration::Configuration;
 use loftdrift_counters::PublishedSet;
 use loftdrift_settings::{AgentProcess, BalancerProcess, Role};
-use loftdrift_store::{StoreClient, follow};
+use loftdrift_store::{StoreClient, follow_configuration};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 use tokio::net::UdpSocket;
@@ -37,7 +37,7 @@
         let mut background = JoinSet::new();
         let (published, configuration) = watch::channel(None);
         let store = StoreClient::new(platform.into());
-        background.spawn(follow(store, rand::random(), published));
+        background.spawn(follow_configuration(store, rand::random(), published));
         let (counters, published_counters) = metrics::channel(role.name());
         background.spawn(metrics::log_periodically(published_counters.clone()));
         if let Some(address) = metrics {
--- a/crates/node/src/configuration_follower.rs
+++ b/crates/node/src/configuration_follower.rs
@@ -6,7 +6,7 @@
 
 use crate::command::{Command, NodeStatus};
 use crate::pace::Pace;
-use crate::shared_store::{Currency, SharedStore, StoreFailure};
+use crate::shared_store::{Consistency, SharedStore, StoreFailure};
 use loftdrift_carried::{CarriedConfiguration, Position};
 use rand::Rng;
 use std::time::{Duration, Instant};
@@ -84,7 +84,7 @@
         tokio::time::sleep(self.head_start).await;
         let mut pace = Pace::new(FIRST_PAUSE, LONGEST_PAUSE);
         while !self.status.borrow().configuration.is_known() && !self.commands.is_closed() {
-            match self.store.read_operators(Currency::MayBeOld).await {
+            match self.store.read_operator_state(Consistency::MayBeStale).await {
                 Ok(state) => {
                     if let Some(document) = state.document() {
                         return self.adopt(document).await;
@@ -98,7 +98,7 @@
 
     /// Reads and waits for as long as this node is to.
     async fn watch(&mut self, pace: &mut Pace) -> Result<(), StoreFailure> {
-        let mut state = self.store.read_operators(Currency::Newest).await?;
+        let mut state = self.store.read_operator_state(Consistency::Latest).await?;
         let mut news = state.document();
         loop {
             pace.reset();
@@ -114,7 +114,7 @@
                 return Ok(());
             }
             let patience = WAIT.mul_f64(rand::rng().random_range(SHORTEST_WAIT..1.0));
-            let change = self.store.wait_operators(state.position, patience).await?;
+            let change = self.store.wait_for_change(state.position, patience).await?;
             // A change in one history cannot be added to what was read in another.
             if change.position.era != state.position.era {
                 return Ok(());
--- a/crates/node/src/counted_store.rs
+++ b/crates/node/src/counted_store.rs
@@ -1,7 +1,7 @@
 //! Counts what calls to the shared store are for and come to, and how long they take.
 
 use crate::shared_store::{
-    Currency, Member, MemberList, OperatorChange, OperatorState, SharedStore, StoreFailure,
+    Consistency, Member, MemberList, OperatorChange, OperatorState, SharedStore, StoreFailure,
 };
 use loftdrift_carried::{NodeRole, Position};
 use loftdrift_counters::{CounterSet, Histogram, PublishedSet, counter_set};
@@ -128,16 +128,19 @@
 }
 
 impl<S: SharedStore> SharedStore for CountedStore<S> {
-    async fn read_operators(&self, currency: Currency) -> Result<OperatorState, StoreFailure> {
-        self.timed(Purpose::Operators, self.store.read_operators(currency)).await
+    async fn read_operator_state(
+        &self,
+        currency: Consistency,
+    ) -> Result<OperatorState, StoreFailure> {
+        self.timed(Purpose::Operators, self.store.read_operator_state(currency)).await
     }
 
-    async fn wait_operators(
+    async fn wait_for_change(
         &self,
         after: Position,
         patience: Duration,
     ) -> Result<OperatorChange, StoreFailure> {
-        let outcome = self.store.wait_operators(after, patience).await;
+        let outcome = self.store.wait_for_change(after, patience).await;
         self.meter.count(Purpose::Change, &outcome);
         outcome
     }
@@ -157,7 +160,7 @@
     async fn read_member(
         &self,
         member: &Member,
-        currency: Currency,
+        currency: Consistency,
     ) -> Result<Option<Member>, StoreFailure> {
         self.timed(Purpose::Entry, self.store.read_member(member, currency)).await
     }
@@ -165,7 +168,7 @@
     async fn read_members(
         &self,
         role: NodeRole,
-        currency: Currency,
+        currency: Consistency,
     ) -> Result<MemberList, StoreFailure> {
         self.timed(Purpose::List, self.store.read_members(role, currency)).await
     }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! One task owns the core with its two UDP sockets; the others speak with it by [`Command`]s and
 //! read its [`NodeStatus`]. What outside systems speak is told by three traits that an adapter
-//! implements: [`SegmentFormat`](loftdrift_carried::SegmentFormat), [`Interface`] and
+//! implements: [`SegmentFormat`](loftdrift_carried::SegmentFormat), [`RequestDecoder`] and
 //! [`SharedStore`].
 
 mod agent_core;
@@ -13,7 +13,6 @@
 mod core;
 mod counted_store;
 mod health;
-mod interface;
 mod member_audit;
 mod member_list;
 mod metrics;
@@ -22,6 +21,7 @@
 mod probe;
 mod registration;
 mod reloading;
+mod request_decoder;
 mod run;
 mod settings;
 mod shared_store;
@@ -33,11 +33,11 @@
 pub use allowance::Allowance;
 pub use command::{Command, Measures, MemberNews, NodeStatus};
 pub use configuration_follower::Follower;
-pub use interface::{Interface, Request, RequestKind};
 pub use member_audit::audit as audit_members;
+pub use request_decoder::{Request, RequestDecoder, RequestKind};
 pub use run::run;
-pub use settings::{AgentPlace, BalancerPlace, NodeSettings, Place};
+pub use settings::{AgentSettings, BalancerSettings, NodeSettings, RoleSettings};
 pub use shared_store::{
-    Currency, Member, MemberEntry, MemberList, OperatorChange, OperatorState, SharedStore,
+    Consistency, Member, MemberEntry, MemberList, OperatorChange, OperatorState, SharedStore,
     StoreFailure,
 };
--- a/crates/node/src/member_audit.rs
+++ b/crates/node/src/member_audit.rs
@@ -2,21 +2,21 @@
 //! at the store do, about once a minute and at its return.
 
 use crate::command::Command;
-use crate::shared_store::{Currency, MemberEntry, SharedStore, StoreFailure};
+use crate::shared_store::{Consistency, MemberEntry, SharedStore, StoreFailure};
 use loftdrift_carried::{ListedNode, NodeList, NodeRole};
 use tokio::sync::{mpsc, oneshot};
 
 /// Audits until nobody asks any more.
 pub async fn audit(
     store: impl SharedStore,
-    mut asked: mpsc::Receiver<Currency>,
+    mut asked: mpsc::Receiver<Consistency>,
     commands: mpsc::Sender<Command>,
 ) {
     while let Some(currency) = asked.recv().await {
         let mut done = audit_once(&store, currency, &commands).await;
         // What was compared, or removed, may have been another history's.
         if done == Err(StoreFailure::Restored) {
-            done = audit_once(&store, Currency::Newest, &commands).await;
+            done = audit_once(&store, Consistency::Latest, &commands).await;
         }
         if let Err(failure) = done {
             let failure = failure.to_string();
@@ -27,7 +27,7 @@
 
 async fn audit_once(
     store: &impl SharedStore,
-    currency: Currency,
+    currency: Consistency,
     commands: &mpsc::Sender<Command>,
 ) -> Result<(), StoreFailure> {
     let balancers = store.read_members(NodeRole::Balancer, currency).await?;
@@ -41,7 +41,7 @@
     let listed = entries
         .iter()
         .map(|entry| ListedNode { address: entry.member.address, role: entry.member.role });
-    let list = NodeList { nodes: listed.collect(), is_newest: currency == Currency::Newest };
+    let list = NodeList { nodes: listed.collect(), is_newest: currency == Consistency::Latest };
     let (answer, dead) = oneshot::channel();
     // Nobody listens only while the process ends.
     let _ = commands.send(Command::Audit(list, answer)).await;
--- a/crates/node/src/member_list.rs
+++ b/crates/node/src/member_list.rs
@@ -5,7 +5,7 @@
 
 use crate::command::{Command, MemberNews};
 use crate::pace::Pace;
-use crate::shared_store::{Currency, Member, MemberList, SharedStore, StoreFailure};
+use crate::shared_store::{Consistency, Member, MemberList, SharedStore, StoreFailure};
 use loftdrift_carried::{NodeRole, Position};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -69,31 +69,31 @@
 
     /// Reads lists as they are, old or not.
     pub(crate) async fn read_any(&self) -> Result<(), StoreFailure> {
-        self.read(Currency::MayBeOld, None).await.map(drop)
+        self.read(Consistency::MayBeStale, None).await.map(drop)
     }
 
     async fn read_whole(&self, entered: Entered) -> Result<(), StoreFailure> {
         let entered_at = match entered {
             // An agent decides nothing by who it does not know.
             Entered::Before if self.member.role == NodeRole::Agent => return self.read_any().await,
-            Entered::Again(_) => return self.read(Currency::Newest, None).await.map(drop),
+            Entered::Again(_) => return self.read(Consistency::Latest, None).await.map(drop),
             Entered::Before => None,
             Entered::At(position) => Some(position),
         };
         // Until a balancer has the whole list it tells no caller that nobody holds a flow: only
         // where there are no flows of before may that take seconds.
         let may_wait = self.is_first_start || self.member.role == NodeRole::Agent;
-        let mut is_whole = self.read(Currency::MayBeOld, entered_at).await?;
+        let mut is_whole = self.read(Consistency::MayBeStale, entered_at).await?;
         let pauses: &[Duration] = if may_wait { &OLD_LIST_PAUSES } else { &[] };
         for pause in pauses {
             if is_whole {
                 return Ok(());
             }
             tokio::time::sleep(*pause).await;
-            is_whole = self.read(Currency::MayBeOld, entered_at).await?;
+            is_whole = self.read(Consistency::MayBeStale, entered_at).await?;
         }
         if !is_whole {
-            self.read(Currency::Newest, None).await?;
+            self.read(Consistency::Latest, None).await?;
         }
         Ok(())
     }
@@ -101,7 +101,7 @@
     /// Reads the lists; `true` when they are whole.
     async fn read(
         &self,
-        currency: Currency,
+        currency: Consistency,
         entered_at: Option<Position>,
     ) -> Result<bool, StoreFailure> {
         let mut lists = vec![self.store.read_members(NodeRole::Balancer, currency).await?];
@@ -110,7 +110,7 @@
             lists.push(self.store.read_members(NodeRole::Agent, currency).await?);
         }
         let has_own = entered_at.is_some_and(|at| lists.iter().all(|list| has_all_up_to(list, at)));
-        let is_whole = currency == Currency::Newest || has_own;
+        let is_whole = currency == Consistency::Latest || has_own;
         let entries = lists.iter().flat_map(|list| &list.entries);
         let members = entries.map(|entry| (entry.member.address, entry.member.role)).collect();
         // Nobody listens only while the process ends.
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -8,7 +8,7 @@
 use crate::command::NodeStatus;
 use crate::member_list::{Entered, ListReader};
 use crate::pace::Pace;
-use crate::shared_store::{Currency, Member, SharedStore, StoreFailure};
+use crate::shared_store::{Consistency, Member, SharedStore, StoreFailure};
 use rand::Rng;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
@@ -133,7 +133,7 @@
     /// Whether the entry that an earlier process of this node has left still stands.
     async fn stands(&self) -> Result<bool, StoreFailure> {
         let member = &self.lists.member;
-        match self.lists.store.read_member(member, Currency::MayBeOld).await {
+        match self.lists.store.read_member(member, Consistency::MayBeStale).await {
             Ok(found) => Ok(found.as_ref() == Some(member)),
             Err(StoreFailure::Gone) => Ok(false),
             Err(failure) => Err(failure),
--- a/crates/node/src/interface.rs
+++ b/crates/node/src/request_decoder.rs
@@ -29,7 +29,7 @@
 }
 
 /// How requests are written. An implementation translates and decides nothing.
-pub trait Interface: Clone + Send + Sync + 'static {
+pub trait RequestDecoder: Clone + Send + Sync + 'static {
     /// Reads a request.
-    fn read(&self, request: Request<'_>) -> RequestKind;
+    fn decode(&self, request: Request<'_>) -> RequestKind;
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -7,12 +7,12 @@
 use crate::configuration_follower::{Follower, head_start};
 use crate::core::Core;
 use crate::counted_store::CountedStore;
-use crate::interface::{Interface, Request, RequestKind};
 use crate::member_list::ListReader;
 use crate::metrics::Metrics;
 use crate::registration::Registration;
-use crate::settings::{AgentPlace, BalancerPlace, NodeSettings, Place};
-use crate::shared_store::{Currency, Member, SharedStore};
+use crate::request_decoder::{Request, RequestDecoder, RequestKind};
+use crate::settings::{AgentSettings, BalancerSettings, NodeSettings, RoleSettings};
+use crate::shared_store::{Consistency, Member, SharedStore};
 use crate::shell::Shell;
 use crate::{
     health, member_audit, probe, registration, reloading, snapshots, stopping, store_reader,
@@ -49,7 +49,7 @@
 const SOCKET_BUFFER_BYTES: usize = 1024 * 1024;
 
 /// Runs a node until it is asked to stop.
-pub async fn run<F: SegmentFormat, S: SharedStore, I: Interface>(
+pub async fn run<F: SegmentFormat, S: SharedStore, I: RequestDecoder>(
     file: PathBuf,
     settings: NodeSettings,
     format: F,
@@ -59,9 +59,11 @@
     let reloads = reloading::requests()?;
     let _reloading = AbortOnDrop(tokio::spawn(reloading::follow(reloads, file, settings.clone())));
     let store = CountedStore::new(store);
-    match settings.place.clone() {
-        Place::Balancer(place) => run_balancer(settings, place, format, interface, store).await,
-        Place::Agent(place) => run_agent(settings, place, format, interface, store).await,
+    match settings.role_settings.clone() {
+        RoleSettings::Balancer(place) => {
+            run_balancer(settings, place, format, interface, store).await
+        }
+        RoleSettings::Agent(place) => run_agent(settings, place, format, interface, store).await,
     }
 }
 
@@ -74,9 +76,9 @@
     }
 }
 
-async fn run_balancer<F: SegmentFormat, S: SharedStore, I: Interface>(
+async fn run_balancer<F: SegmentFormat, S: SharedStore, I: RequestDecoder>(
     settings: NodeSettings,
-    place: BalancerPlace,
+    place: BalancerSettings,
     format: F,
     interface: I,
     store: CountedStore<S>,
@@ -106,9 +108,9 @@
     node.run(settings, interface, store, None).await
 }
 
-async fn run_agent<F: SegmentFormat, S: SharedStore, I: Interface>(
+async fn run_agent<F: SegmentFormat, S: SharedStore, I: RequestDecoder>(
     settings: NodeSettings,
-    place: AgentPlace,
+    place: AgentSettings,
     format: F,
     interface: I,
     store: CountedStore<S>,
@@ -141,7 +143,7 @@
     /// The core asks for a reading of the store.
     readings: mpsc::Receiver<()>,
     /// The core asks for an audit of the list of nodes.
-    audits: mpsc::Receiver<Currency>,
+    audits: mpsc::Receiver<Consistency>,
     /// The core has heard that the node's entry is missing.
     missing: mpsc::Receiver<()>,
     tasks: JoinSet<()>,
@@ -188,7 +190,7 @@
         })
     }
 
-    async fn run<S: SharedStore, I: Interface>(
+    async fn run<S: SharedStore, I: RequestDecoder>(
         mut self,
         settings: NodeSettings,
         interface: I,
@@ -240,7 +242,7 @@
     }
 }
 
-async fn serve_requests<I: Interface>(
+async fn serve_requests<I: RequestDecoder>(
     listener: TcpListener,
     interface: I,
     commands: mpsc::Sender<Command>,
@@ -254,7 +256,7 @@
     .await;
 }
 
-async fn answer_request<I: Interface>(
+async fn answer_request<I: RequestDecoder>(
     request: hyper::Request<Incoming>,
     interface: I,
     commands: mpsc::Sender<Command>,
@@ -266,7 +268,7 @@
     };
     let body = body.to_bytes();
     let method = head.method.as_str();
-    match interface.read(Request { method, path: head.uri.path(), body: &body }) {
+    match interface.decode(Request { method, path: head.uri.path(), body: &body }) {
         RequestKind::Readiness if is_ready => text_answer(StatusCode::OK, ""),
         RequestKind::Readiness => text_answer(StatusCode::SERVICE_UNAVAILABLE, ""),
         RequestKind::Report(report) => {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -34,7 +34,7 @@
     /// The node itself; its address takes messages over UDP and gives snapshots over TCP.
     pub node: Node,
     /// What it does, with the sockets for it.
-    pub place: Place,
+    pub role_settings: RoleSettings,
     /// Where it is asked whether callers' packets should come here.
     pub readiness: Option<SocketAddrV4>,
     /// Where its counters are read.
@@ -61,33 +61,33 @@
 
 /// What a node does.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
+pub enum RoleSettings {
     /// Takes callers' packets.
-    Balancer(BalancerPlace),
+    Balancer(BalancerSettings),
     /// Stands beside a back end.
-    Agent(AgentPlace),
+    Agent(AgentSettings),
 }
 
-impl Place {
+impl RoleSettings {
     /// What the node does, in logs.
     pub fn name(&self) -> &'static str {
         match self {
-            Place::Balancer(_) => "balancer",
-            Place::Agent(_) => "agent",
+            RoleSettings::Balancer(_) => "balancer",
+            RoleSettings::Agent(_) => "agent",
         }
     }
 }
 
 /// A balancer's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BalancerPlace {
+pub struct BalancerSettings {
     /// Takes callers' packets over UDP.
     pub ingress: SocketAddrV4,
 }
 
 /// An agent's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentPlace {
+pub struct AgentSettings {
     /// Takes the back end's packets over UDP.
     pub outbound: SocketAddrV4,
     /// Takes the back end's heartbeats over HTTP.
@@ -161,9 +161,9 @@
     let longest_flow = reader.seconds("longest_flow_s", DEFAULT_LONGEST_FLOW_SECONDS);
     let is_first_start = reader.switch("first_start", false);
     let policies = read_policies(reader);
-    let place = match role? {
-        NodeRole::Balancer => read_balancer(reader).map(Place::Balancer),
-        NodeRole::Agent => read_agent(reader).map(Place::Agent),
+    let role_settings = match role? {
+        NodeRole::Balancer => read_balancer(reader).map(RoleSettings::Balancer),
+        NodeRole::Agent => read_agent(reader).map(RoleSettings::Agent),
     };
     let node = Node {
         address: messages?,
@@ -177,7 +177,7 @@
     Some(NodeSettings {
         name: name?,
         node,
-        place: place?,
+        role_settings: role_settings?,
         readiness,
         metrics,
         store: store?,
@@ -221,18 +221,18 @@
     policies
 }
 
-fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerPlace> {
+fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerSettings> {
     let ingress = reader.listener("ingress");
-    Some(BalancerPlace { ingress: ingress? })
+    Some(BalancerSettings { ingress: ingress? })
 }
 
-fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentPlace> {
+fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentSettings> {
     let outbound = reader.listener("outbound");
     let control = reader.listener("control");
     let backend = reader.address("backend");
     let service = reader.text("service");
     let caller = reader.address("caller_port_of");
-    Some(AgentPlace {
+    Some(AgentSettings {
         outbound: outbound?,
         control: control?,
         backend: backend?,
--- a/crates/node/src/shared_store.rs
+++ b/crates/node/src/shared_store.rs
@@ -49,11 +49,11 @@
 
 /// How new an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Currency {
+pub enum Consistency {
     /// All that was acknowledged before is in it.
-    Newest,
+    Latest,
     /// It may be seconds old; such an answer costs the store less.
-    MayBeOld,
+    MayBeStale,
 }
 
 /// An entry with the revision at which it was written.
@@ -102,14 +102,14 @@
 /// A client of the store. An implementation translates and decides nothing.
 pub trait SharedStore: Clone + Send + Sync + 'static {
     /// Reads what operators have written.
-    fn read_operators(
+    fn read_operator_state(
         &self,
-        currency: Currency,
+        currency: Consistency,
     ) -> impl Future<Output = Result<OperatorState, StoreFailure>> + Send;
 
     /// Waits up to `patience` for operators to write something after a position. The answer may be of
     /// another era: then it tells nothing of what was waited for.
-    fn wait_operators(
+    fn wait_for_change(
         &self,
         after: Position,
         patience: Duration,
@@ -133,13 +133,13 @@
     fn read_member(
         &self,
         member: &Member,
-        currency: Currency,
+        currency: Consistency,
     ) -> impl Future<Output = Result<Option<Member>, StoreFailure>> + Send;
 
     /// Reads all entries of nodes of a role.
     fn read_members(
         &self,
         role: NodeRole,
-        currency: Currency,
+        currency: Consistency,
     ) -> impl Future<Output = Result<MemberList, StoreFailure>> + Send;
 }
--- a/crates/node/src/shell.rs
+++ b/crates/node/src/shell.rs
@@ -2,7 +2,7 @@
 
 use crate::command::{Command, NodeStatus};
 use crate::core::Core;
-use crate::shared_store::Currency;
+use crate::shared_store::Consistency;
 use loftdrift_carried::{InputAge, Output};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
@@ -45,7 +45,7 @@
     pub(crate) fetches: mpsc::Sender<SocketAddrV4>,
     pub(crate) readings: mpsc::Sender<()>,
     pub(crate) probes: mpsc::Sender<SocketAddrV4>,
-    pub(crate) audits: mpsc::Sender<Currency>,
+    pub(crate) audits: mpsc::Sender<Consistency>,
     pub(crate) rewrites: mpsc::Sender<()>,
     /// For how long what is read from the local socket may have waited there.
     pub(crate) local_age: InputAge,
@@ -199,7 +199,8 @@
                 Output::ReadStore => drop(self.readings.try_send(())),
                 // One audit serves all who ask meanwhile.
                 Output::ReadMembers { is_urgent } => {
-                    let currency = if is_urgent { Currency::Newest } else { Currency::MayBeOld };
+                    let currency =
+                        if is_urgent { Consistency::Latest } else { Consistency::MayBeStale };
                     let _ = self.audits.try_send(currency);
                 }
                 // One entry serves all auditors.
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -2,7 +2,7 @@
 //! the shared store refuses, a balancer when nobody tells it of the store.
 
 use crate::command::Command;
-use crate::shared_store::{Currency, SharedStore};
+use crate::shared_store::{Consistency, SharedStore};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
@@ -16,7 +16,7 @@
     commands: mpsc::Sender<Command>,
 ) {
     while asked.recv().await.is_some() {
-        let answered = match store.read_operators(Currency::Newest).await {
+        let answered = match store.read_operator_state(Consistency::Latest).await {
             Ok(state) => {
                 if let Some(document) = state.document() {
                     // Nobody listens only while the process ends.
--- a/crates/node/tests/restored_store.rs
+++ b/crates/node/tests/restored_store.rs
@@ -2,7 +2,7 @@
 
 use loftdrift_carried::{CarriedConfiguration, NodeRole, Position, Version};
 use loftdrift_node::{
-    Command, Currency, Follower, Member, MemberEntry, MemberList, NodeStatus, OperatorChange,
+    Command, Consistency, Follower, Member, MemberEntry, MemberList, NodeStatus, OperatorChange,
     OperatorState, SharedStore, StoreFailure, audit_members,
 };
 use std::collections::VecDeque;
@@ -26,7 +26,7 @@
     /// Eras in which entries are removed.
     removals: VecDeque<u64>,
     /// How new each list was to be.
-    asked: Vec<Currency>,
+    asked: Vec<Consistency>,
 }
 
 impl ScriptedStore {
@@ -40,11 +40,11 @@
 }
 
 impl SharedStore for ScriptedStore {
-    async fn read_operators(&self, _: Currency) -> Result<OperatorState, StoreFailure> {
+    async fn read_operator_state(&self, _: Consistency) -> Result<OperatorState, StoreFailure> {
         self.next(|script| script.readings.pop_front()).await
     }
 
-    async fn wait_operators(
+    async fn wait_for_change(
         &self,
         _: Position,
         _: Duration,
@@ -61,11 +61,19 @@
         Ok(Position { era, revision: 90 })
     }
 
-    async fn read_member(&self, _: &Member, _: Currency) -> Result<Option<Member>, StoreFailure> {
+    async fn read_member(
+        &self,
+        _: &Member,
+        _: Consistency,
+    ) -> Result<Option<Member>, StoreFailure> {
         std::future::pending().await
     }
 
-    async fn read_members(&self, _: NodeRole, asked: Currency) -> Result<MemberList, StoreFailure> {
+    async fn read_members(
+        &self,
+        _: NodeRole,
+        asked: Consistency,
+    ) -> Result<MemberList, StoreFailure> {
         self.0.lock().unwrap().asked.push(asked);
         Ok(self.next(|script| script.lists.pop_front()).await)
     }
@@ -201,7 +209,7 @@
     let (ask, asked) = mpsc::channel(1);
     let (commands, mut said) = mpsc::channel(4);
     tokio::spawn(audit_members(store.clone(), asked, commands));
-    ask.send(Currency::MayBeOld).await.unwrap();
+    ask.send(Consistency::MayBeStale).await.unwrap();
     assert_eq!(audits(&mut said, 2).await, [false, true]);
 }
 
@@ -213,8 +221,8 @@
     let (ask, asked) = mpsc::channel(1);
     let (commands, mut said) = mpsc::channel(4);
     tokio::spawn(audit_members(store.clone(), asked, commands));
-    ask.send(Currency::MayBeOld).await.unwrap();
+    ask.send(Consistency::MayBeStale).await.unwrap();
     assert_eq!(audits(&mut said, 1).await, [true]);
-    let newest = |asked: &Currency| *asked == Currency::Newest;
+    let newest = |asked: &Consistency| *asked == Consistency::Latest;
     assert_eq!(store.0.lock().unwrap().asked.iter().filter(|asked| newest(asked)).count(), 2);
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,6 +1,6 @@
 //! Settings files: read whole, or every finding with its place.
 
-use loftdrift_node::{NodeSettings, Place};
+use loftdrift_node::{NodeSettings, RoleSettings};
 use loftdrift_settings::Overrides;
 
 const BALANCER: &str = r#"role = "carried-balancer"
@@ -41,7 +41,7 @@
     assert!(!balancer.is_first_start);
     let agent = read(AGENT).unwrap();
     assert!(agent.is_first_start);
-    let Place::Agent(place) = agent.place else { panic!("no agent") };
+    let RoleSettings::Agent(place) = agent.role_settings else { panic!("no agent") };
     assert_eq!(place.caller_port, 8_172);
 }
 
--- a/crates/standin/tests/silent_watch.rs
+++ b/crates/standin/tests/silent_watch.rs
@@ -4,7 +4,7 @@
 use loftdrift_http::HttpClient;
 use loftdrift_standin::platform::{Faults, serve};
 use loftdrift_standin::relay::Relay;
-use loftdrift_store::{StoreClient, follow};
+use loftdrift_store::{StoreClient, follow_configuration};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -42,7 +42,7 @@
     let operators = StoreClient::new(address);
     write(&operators, &Configuration::default(), &revision(1)).await;
     let (published, mut known) = watch::channel(None);
-    tokio::spawn(follow(StoreClient::new(relay.address), 1, published));
+    tokio::spawn(follow_configuration(StoreClient::new(relay.address), 1, published));
     known.changed().await.unwrap();
     wait_for_watch(address).await;
     relay.silence();
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -35,7 +35,7 @@
 ///
 /// While the store cannot be reached, the last one stays published; attempts come with growing,
 /// jittered pauses, so that many processes do not return at once.
-pub async fn follow(
+pub async fn follow_configuration(
     store: StoreClient,
     seed: u64,
     published: watch::Sender<Option<Arc<Configuration>>>,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,7 @@
 //! Client of the platform's services, through their published protocols.
 //!
 //! [`etcd`] holds the messages of etcd's v3 JSON-over-HTTP interface, which the stand-in shares;
-//! [`StoreClient`] carries the cores' requests over it; [`follow`] keeps a process's configuration
+//! [`StoreClient`] carries the cores' requests over it; [`follow_configuration`] keeps a process's configuration
 //! up to date; [`MachineListClient`] reads the lagging list of machines.
 
 mod client;
@@ -10,5 +10,5 @@
 mod machines;
 
 pub use client::{StoreClient, StoreError};
-pub use follow::follow;
+pub use follow::follow_configuration;
 pub use machines::{Machine, MachineList, MachineListClient, MachineRole, MachineState};
