--- a/crates/node/src/agent_core.rs
+++ b/crates/node/src/agent_core.rs
@@ -1,6 +1,6 @@
 //! The agent's core behind the shell.
 
-use crate::command::{Measures, MemberNews, NodeStatus};
+use crate::command::{CoreMetrics, MemberUpdate, NodeStatus};
 use crate::core::Core;
 use loftdrift_carried::{
     BackendReport, CarriedAgent, CarriedConfiguration, Incarnation, Output, ProbeOutcome,
@@ -50,11 +50,11 @@
         self.agent.adopt(now, configuration);
     }
 
-    fn learn(&mut self, now: Duration, news: &MemberNews) {
-        self.agent.learn_members(now, &news.members);
+    fn learn_members(&mut self, now: Duration, update: &MemberUpdate) {
+        self.agent.learn_members(now, &update.members);
     }
 
-    fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
         self.agent.take_snapshot(now, snapshot);
     }
 
@@ -62,20 +62,20 @@
         self.agent.snapshot()
     }
 
-    fn measures(&self, now: Duration) -> Measures {
+    fn metrics(&self, now: Duration) -> CoreMetrics {
         let samples = self.agent.counters(now).samples();
-        Measures { samples, histograms: self.agent.histograms() }
+        CoreMetrics { samples, histograms: self.agent.histograms() }
     }
 
     fn status(&self, now: Duration) -> NodeStatus {
-        let asks = !self.agent.knows_backend();
+        let backend_unknown = !self.agent.knows_backend();
         NodeStatus {
             is_ready: true,
             is_drained: self.agent.is_drained(now),
-            has_ended: self.agent.has_ended(),
+            backend_ended: self.agent.has_ended(),
             configuration: self.agent.configuration_version(),
             watches_store: false,
-            health_path: self.agent.health_path().filter(|_| asks).map(str::to_owned),
+            health_path: self.agent.health_path().filter(|_| backend_unknown).map(str::to_owned),
         }
     }
 
@@ -83,31 +83,31 @@
         self.agent.resume(now);
     }
 
-    fn note_store(&mut self, now: Duration, answers: bool) {
-        self.agent.note_store(now, answers);
+    fn note_store(&mut self, now: Duration, is_reachable: bool) {
+        self.agent.note_store(now, is_reachable);
     }
 
-    fn drain(&mut self, now: Duration) {
+    fn start_draining(&mut self, now: Duration) {
         self.agent.start_draining(now);
     }
 
-    fn take_report(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
+    fn handle_report(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
         self.agent.take_report(now, report)
     }
 
-    fn note_unreadable(&mut self) {
+    fn note_unreadable_report(&mut self) {
         self.agent.note_unreadable();
     }
 
-    fn take_departure(&mut self, now: Duration, gone: &Incarnation) {
-        self.agent.take_departure(now, gone);
+    fn handle_departure(&mut self, now: Duration, departed: &Incarnation) {
+        self.agent.take_departure(now, departed);
     }
 
-    fn take_health(&mut self, now: Duration, is_healthy: bool) {
+    fn handle_health(&mut self, now: Duration, is_healthy: bool) {
         self.agent.take_health(now, is_healthy);
     }
 
-    fn take_probe(&mut self, now: Duration, outcome: ProbeOutcome) {
+    fn handle_probe(&mut self, now: Duration, outcome: ProbeOutcome) {
         self.agent.take_probe(now, outcome);
     }
 }
--- a/crates/node/src/pace.rs
+++ b/crates/node/src/backoff.rs
@@ -6,26 +6,26 @@
 
 /// The pauses of one loop of tries.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Pace {
-    first: Duration,
-    longest: Duration,
+pub(crate) struct Backoff {
+    initial: Duration,
+    max: Duration,
     next: Duration,
 }
 
-impl Pace {
-    pub(crate) fn new(first: Duration, longest: Duration) -> Self {
-        Pace { first, longest, next: first }
+impl Backoff {
+    pub(crate) fn new(initial: Duration, max: Duration) -> Self {
+        Backoff { initial, max, next: initial }
     }
 
     /// Something succeeded: the next pause is the first again.
     pub(crate) fn reset(&mut self) {
-        self.next = self.first;
+        self.next = self.initial;
     }
 
     /// Waits for the next try.
-    pub(crate) async fn pause(&mut self) {
+    pub(crate) async fn wait(&mut self) {
         let jitter = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(self.next.mul_f64(jitter)).await;
-        self.next = (self.next * 2).min(self.longest);
+        self.next = (self.next * 2).min(self.max);
     }
 }
--- a/crates/node/src/balancer_core.rs
+++ b/crates/node/src/balancer_core.rs
@@ -1,6 +1,6 @@
 //! The balancer's core behind the shell.
 
-use crate::command::{Measures, MemberNews, NodeStatus};
+use crate::command::{CoreMetrics, MemberUpdate, NodeStatus};
 use crate::core::Core;
 use loftdrift_carried::{
     CarriedBalancer, CarriedConfiguration, NodeList, Output, SegmentFormat, Snapshot,
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// Without packets of callers for so long, a stop cuts nothing.
-const QUIET: Duration = Duration::from_millis(400);
+const IDLE_PERIOD: Duration = Duration::from_millis(400);
 
 /// A balancer with the port at which callers take packets.
 pub(crate) struct BalancerCore<F> {
@@ -49,10 +49,10 @@
         self.balancer.adopt(now, configuration);
     }
 
-    fn learn(&mut self, now: Duration, news: &MemberNews) {
-        match news.is_whole {
-            true => self.balancer.learn_members(now, &news.members),
-            false => self.balancer.hear_of_members(now, &news.members),
+    fn learn_members(&mut self, now: Duration, update: &MemberUpdate) {
+        match update.is_complete {
+            true => self.balancer.learn_members(now, &update.members),
+            false => self.balancer.hear_of_members(now, &update.members),
         }
     }
 
@@ -60,7 +60,7 @@
         self.balancer.audit_members(now, list)
     }
 
-    fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
+    fn install_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
         self.balancer.take_snapshot(now, snapshot);
     }
 
@@ -68,16 +68,16 @@
         self.balancer.snapshot()
     }
 
-    fn measures(&self, now: Duration) -> Measures {
+    fn metrics(&self, now: Duration) -> CoreMetrics {
         let samples = self.balancer.counters(now).samples();
-        Measures { samples, histograms: self.balancer.histograms() }
+        CoreMetrics { samples, histograms: self.balancer.histograms() }
     }
 
     fn status(&self, now: Duration) -> NodeStatus {
         NodeStatus {
             is_ready: self.balancer.is_ready(now),
-            is_drained: now.saturating_sub(self.last_packet) > QUIET,
-            has_ended: false,
+            is_drained: now.saturating_sub(self.last_packet) > IDLE_PERIOD,
+            backend_ended: false,
             configuration: self.balancer.configuration_version(),
             watches_store: self.balancer.watches_store(now),
             health_path: None,
@@ -88,15 +88,15 @@
         self.balancer.resume(now);
     }
 
-    fn note_local_waited(&mut self, waited: Duration) {
-        self.balancer.note_input_waited(waited);
+    fn note_local_wait(&mut self, max_wait: Duration) {
+        self.balancer.note_input_waited(max_wait);
     }
 
-    fn note_store(&mut self, now: Duration, answers: bool) {
-        self.balancer.note_store(now, answers);
+    fn note_store(&mut self, now: Duration, is_reachable: bool) {
+        self.balancer.note_store(now, is_reachable);
     }
 
-    fn drain(&mut self, _now: Duration) {
+    fn start_draining(&mut self, _now: Duration) {
         self.balancer.start_draining();
     }
 }
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -12,46 +12,46 @@
 #[derive(Debug)]
 pub enum Command {
     /// Put this configuration in force if it is newer.
-    Adopt(CarriedConfiguration),
+    AdoptConfiguration(CarriedConfiguration),
     /// These nodes exist.
-    Learn(MemberNews),
+    LearnMembers(MemberUpdate),
     /// The shared store's list, to be compared with who lives; answered with the addresses whose
     /// entries are to be removed.
-    Audit(NodeList, oneshot::Sender<Vec<SocketAddrV4>>),
+    AuditMembers(NodeList, oneshot::Sender<Vec<SocketAddrV4>>),
     /// Another node's snapshot.
-    TakeSnapshot(Snapshot),
+    InstallSnapshot(Snapshot),
     /// Give a snapshot.
-    GiveSnapshot(oneshot::Sender<Snapshot>),
+    GetSnapshot(oneshot::Sender<Snapshot>),
     /// Give what was counted and measured.
-    GiveMeasures(oneshot::Sender<Measures>),
+    GetMetrics(oneshot::Sender<CoreMetrics>),
     /// The back end's heartbeat; answered with what it changed, once that is in force.
-    Report(BackendReport, oneshot::Sender<ReportOutcome>),
+    BackendReport(BackendReport, oneshot::Sender<ReportOutcome>),
     /// The back end leaves; answered once it is in force.
-    Departure(Incarnation, oneshot::Sender<()>),
+    BackendDeparture(Incarnation, oneshot::Sender<()>),
     /// A word of the back end could not be read.
-    Unreadable,
+    UnreadableReport,
     /// The back end's answer about its health.
-    Health(bool),
+    BackendHealth(bool),
     /// What became of an attempt to connect to the back end.
-    Probed(ProbeOutcome),
+    ProbeFinished(ProbeOutcome),
     /// Whether the shared store has answered this node; all that it answered was told before.
-    StoreAnswers(bool),
+    StoreReachable(bool),
     /// Take nothing new.
     Drain,
 }
 
 /// Nodes that the shared store's list names.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct MemberNews {
+pub struct MemberUpdate {
     /// The nodes.
     pub members: Vec<(SocketAddrV4, NodeRole)>,
     /// The list is no older than the node's own entry in it.
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
 /// What a core has counted and measured.
 #[derive(Clone, Debug)]
-pub struct Measures {
+pub struct CoreMetrics {
     /// Counters and gauges.
     pub samples: Vec<Sample>,
     /// Histograms; the core goes on filling them.
@@ -66,7 +66,7 @@
     /// Nothing that a planned stop would cut is left.
     pub is_drained: bool,
     /// What the node stood beside has ended: it does not come back here.
-    pub has_ended: bool,
+    pub backend_ended: bool,
     /// Version of the configuration in force.
     pub configuration: Version,
     /// The node is to wait at the shared store for newer configurations.
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,6 +1,6 @@
 //! What the shell needs of a core, whatever its role.
 
-use crate::command::{Measures, MemberNews, NodeStatus};
+use crate::command::{CoreMetrics, MemberUpdate, NodeStatus};
 use loftdrift_carried::{
     BackendReport, CarriedConfiguration, Incarnation, NodeList, Output, ProbeOutcome,
     ReportOutcome, Snapshot,
@@ -22,33 +22,33 @@
         None
     }
     fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration);
-    fn learn(&mut self, now: Duration, news: &MemberNews);
+    fn learn_members(&mut self, now: Duration, update: &MemberUpdate);
     /// Compares the shared store's list with who lives; no core but a balancer's asks for it.
     fn audit(&mut self, _now: Duration, _list: &NodeList) -> Vec<SocketAddrV4> {
         Vec::new()
     }
-    fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot);
+    fn install_snapshot(&mut self, now: Duration, snapshot: Snapshot);
     fn snapshot(&self) -> Snapshot;
-    fn measures(&self, now: Duration) -> Measures;
+    fn metrics(&self, now: Duration) -> CoreMetrics;
     fn status(&self, now: Duration) -> NodeStatus;
-    fn drain(&mut self, now: Duration);
+    fn start_draining(&mut self, now: Duration);
 
     /// The process stood still.
     fn resume(&mut self, now: Duration);
     /// Datagrams of the local socket that come next may have waited for so long.
-    fn note_local_waited(&mut self, _waited: Duration) {}
+    fn note_local_wait(&mut self, _max_wait: Duration) {}
     /// Whether the shared store has answered.
-    fn note_store(&mut self, now: Duration, answers: bool);
+    fn note_store(&mut self, now: Duration, is_reachable: bool);
     /// A back end's heartbeat; no core but an agent's is sent any.
-    fn take_report(&mut self, _now: Duration, _report: &BackendReport) -> ReportOutcome {
+    fn handle_report(&mut self, _now: Duration, _report: &BackendReport) -> ReportOutcome {
         ReportOutcome::Foreign
     }
     /// A back end's word that could not be read.
-    fn note_unreadable(&mut self) {}
+    fn note_unreadable_report(&mut self) {}
     /// A back end's departure.
-    fn take_departure(&mut self, _now: Duration, _gone: &Incarnation) {}
+    fn handle_departure(&mut self, _now: Duration, _departed: &Incarnation) {}
     /// A back end's health.
-    fn take_health(&mut self, _now: Duration, _is_healthy: bool) {}
+    fn handle_health(&mut self, _now: Duration, _is_healthy: bool) {}
     /// What became of an attempt to connect to the back end.
-    fn take_probe(&mut self, _now: Duration, _outcome: ProbeOutcome) {}
+    fn handle_probe(&mut self, _now: Duration, _outcome: ProbeOutcome) {}
 }
--- a/crates/node/src/counted_store.rs
+++ b/crates/node/src/counted_store.rs
@@ -47,7 +47,7 @@
 }
 
 impl StoreCounters {
-    fn of_purpose(&mut self, purpose: Purpose) -> &mut u64 {
+    fn for_purpose(&mut self, purpose: Purpose) -> &mut u64 {
         match purpose {
             Purpose::Operators => &mut self.calls_for_operators,
             Purpose::Change => &mut self.calls_for_changes,
@@ -56,7 +56,7 @@
         }
     }
 
-    fn of_outcome<T>(&mut self, outcome: &Result<T, StoreFailure>) -> &mut u64 {
+    fn for_outcome<T>(&mut self, outcome: &Result<T, StoreFailure>) -> &mut u64 {
         match outcome {
             Ok(_) => &mut self.calls_answered,
             Err(StoreFailure::NoAnswer(_)) => &mut self.calls_unanswered,
@@ -74,27 +74,28 @@
 pub(crate) struct StoreMeter {
     counters: Arc<Mutex<StoreCounters>>,
     /// Calls that wait for a change are not among them.
-    took: Histogram,
+    call_duration: Histogram,
 }
 
 impl StoreMeter {
     fn new() -> Self {
-        let took = Histogram::seconds("call_seconds", "Time of a call that waits for no change.");
-        StoreMeter { counters: Arc::default(), took }
+        let call_duration =
+            Histogram::seconds("call_seconds", "Time of a call that waits for no change.");
+        StoreMeter { counters: Arc::default(), call_duration }
     }
 
     /// The metrics of the store.
     pub(crate) fn publish(&self) -> PublishedSet {
         // Counts are good enough after a panic elsewhere.
         let counters = *self.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        let histograms = vec![self.took.clone()];
+        let histograms = vec![self.call_duration.clone()];
         PublishedSet { role: "store", samples: counters.samples(), histograms }
     }
 
     fn count<T>(&self, purpose: Purpose, outcome: &Result<T, StoreFailure>) {
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        *counters.of_purpose(purpose) += 1;
-        *counters.of_outcome(outcome) += 1;
+        *counters.for_purpose(purpose) += 1;
+        *counters.for_outcome(outcome) += 1;
     }
 }
 
@@ -114,14 +115,14 @@
         self.meter.clone()
     }
 
-    async fn timed<T>(
+    async fn measure<T>(
         &self,
         purpose: Purpose,
         call: impl Future<Output = Result<T, StoreFailure>> + Send,
     ) -> Result<T, StoreFailure> {
         let started = Instant::now();
         let outcome = call.await;
-        self.meter.took.observe(started.elapsed());
+        self.meter.call_duration.observe(started.elapsed());
         self.meter.count(purpose, &outcome);
         outcome
     }
@@ -130,46 +131,46 @@
 impl<S: SharedStore> SharedStore for CountedStore<S> {
     async fn read_operator_state(
         &self,
-        currency: Consistency,
+        consistency: Consistency,
     ) -> Result<OperatorState, StoreFailure> {
-        self.timed(Purpose::Operators, self.store.read_operator_state(currency)).await
+        self.measure(Purpose::Operators, self.store.read_operator_state(consistency)).await
     }
 
     async fn wait_for_change(
         &self,
         after: Position,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<OperatorChange, StoreFailure> {
-        let outcome = self.store.wait_for_change(after, patience).await;
+        let outcome = self.store.wait_for_change(after, timeout).await;
         self.meter.count(Purpose::Change, &outcome);
         outcome
     }
 
     async fn write_member(&self, member: &Member) -> Result<Position, StoreFailure> {
-        self.timed(Purpose::Entry, self.store.write_member(member)).await
+        self.measure(Purpose::Entry, self.store.write_member(member)).await
     }
 
     async fn remove_member(
         &self,
         member: &Member,
-        written_at: Option<u64>,
+        expected_revision: Option<u64>,
     ) -> Result<Position, StoreFailure> {
-        self.timed(Purpose::Entry, self.store.remove_member(member, written_at)).await
+        self.measure(Purpose::Entry, self.store.remove_member(member, expected_revision)).await
     }
 
     async fn read_member(
         &self,
         member: &Member,
-        currency: Consistency,
+        consistency: Consistency,
     ) -> Result<Option<Member>, StoreFailure> {
-        self.timed(Purpose::Entry, self.store.read_member(member, currency)).await
+        self.measure(Purpose::Entry, self.store.read_member(member, consistency)).await
     }
 
     async fn read_members(
         &self,
         role: NodeRole,
-        currency: Consistency,
+        consistency: Consistency,
     ) -> Result<MemberList, StoreFailure> {
-        self.timed(Purpose::List, self.store.read_members(role, currency)).await
+        self.measure(Purpose::List, self.store.read_members(role, consistency)).await
     }
 }
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -9,29 +9,29 @@
 use tokio::sync::{mpsc, watch};
 
 /// Longest wait for an answer; a back end that is down refuses or says nothing.
-const TIMEOUT: Duration = Duration::from_millis(300);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
 /// Most questions; each takes a slot of the back end.
-const MOST_QUESTIONS: u32 = 3;
-const PAUSE: Duration = Duration::from_millis(100);
+const MAX_ATTEMPTS: u32 = 3;
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Asks as soon as the path is known, unless the back end has spoken by then.
-pub(crate) async fn ask(
+pub(crate) async fn check(
     backend: SocketAddrV4,
     mut status: watch::Receiver<NodeStatus>,
     commands: mpsc::Sender<Command>,
 ) {
-    let client = HttpClient::new(backend.into(), TIMEOUT);
-    for _ in 0..MOST_QUESTIONS {
+    let client = HttpClient::new(backend.into(), REQUEST_TIMEOUT);
+    for _ in 0..MAX_ATTEMPTS {
         let Some(path) = wait_for_path(&mut status).await else { return };
         if client.send_empty(Method::GET, &path).await.is_ok() {
-            let _ = commands.send(Command::Health(true)).await;
+            let _ = commands.send(Command::BackendHealth(true)).await;
             return;
         }
-        tokio::time::sleep(PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
 async fn wait_for_path(status: &mut watch::Receiver<NodeStatus>) -> Option<String> {
-    let known = status.wait_for(|status| status.health_path.is_some()).await.ok()?;
-    known.health_path.clone()
+    let status = status.wait_for(|status| status.health_path.is_some()).await.ok()?;
+    status.health_path.clone()
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -6,34 +6,33 @@
 //! [`SharedStore`].
 
 mod agent_core;
-mod allowance;
+mod backoff;
 mod balancer_core;
 mod command;
 mod configuration_follower;
 mod core;
 mod counted_store;
+mod driver;
 mod health;
 mod member_audit;
 mod member_list;
 mod metrics;
 mod operator_document;
-mod pace;
 mod probe;
 mod registration;
-mod reloading;
 mod request_decoder;
 mod run;
 mod settings;
+mod settings_check;
 mod shared_store;
-mod shell;
+mod shutdown;
+mod snapshot_budget;
 mod snapshots;
-mod stopping;
 mod store_reader;
 
-pub use allowance::Allowance;
-pub use command::{Command, Measures, MemberNews, NodeStatus};
-pub use configuration_follower::Follower;
-pub use member_audit::audit as audit_members;
+pub use command::{Command, CoreMetrics, MemberUpdate, NodeStatus};
+pub use configuration_follower::ConfigurationFollower;
+pub use member_audit::run as audit_members;
 pub use request_decoder::{Request, RequestDecoder, RequestKind};
 pub use run::run;
 pub use settings::{AgentSettings, BalancerSettings, NodeSettings, RoleSettings};
@@ -41,3 +40,4 @@
     Consistency, Member, MemberEntry, MemberList, OperatorChange, OperatorState, SharedStore,
     StoreFailure,
 };
+pub use snapshot_budget::SnapshotBudget;
--- a/crates/node/src/member_audit.rs
+++ b/crates/node/src/member_audit.rs
@@ -7,18 +7,18 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Audits until nobody asks any more.
-pub async fn audit(
+pub async fn run(
     store: impl SharedStore,
-    mut asked: mpsc::Receiver<Consistency>,
+    mut requests: mpsc::Receiver<Consistency>,
     commands: mpsc::Sender<Command>,
 ) {
-    while let Some(currency) = asked.recv().await {
-        let mut done = audit_once(&store, currency, &commands).await;
+    while let Some(consistency) = requests.recv().await {
+        let mut outcome = audit_once(&store, consistency, &commands).await;
         // What was compared, or removed, may have been another history's.
-        if done == Err(StoreFailure::Restored) {
-            done = audit_once(&store, Consistency::Latest, &commands).await;
+        if outcome == Err(StoreFailure::Restored) {
+            outcome = audit_once(&store, Consistency::Latest, &commands).await;
         }
-        if let Err(failure) = done {
+        if let Err(failure) = outcome {
             let failure = failure.to_string();
             log::warn!(failure = failure.as_str(); "members_not_audited");
         }
@@ -27,11 +27,11 @@
 
 async fn audit_once(
     store: &impl SharedStore,
-    currency: Consistency,
+    consistency: Consistency,
     commands: &mpsc::Sender<Command>,
 ) -> Result<(), StoreFailure> {
-    let balancers = store.read_members(NodeRole::Balancer, currency).await?;
-    let agents = store.read_members(NodeRole::Agent, currency).await?;
+    let balancers = store.read_members(NodeRole::Balancer, consistency).await?;
+    let agents = store.read_members(NodeRole::Agent, consistency).await?;
     let era = balancers.position.era;
     if agents.position.era != era {
         return Err(StoreFailure::Restored);
@@ -41,10 +41,10 @@
     let listed = entries
         .iter()
         .map(|entry| ListedNode { address: entry.member.address, role: entry.member.role });
-    let list = NodeList { nodes: listed.collect(), is_newest: currency == Consistency::Latest };
-    let (answer, dead) = oneshot::channel();
+    let list = NodeList { nodes: listed.collect(), is_newest: consistency == Consistency::Latest };
+    let (reply, dead) = oneshot::channel();
     // Nobody listens only while the process ends.
-    let _ = commands.send(Command::Audit(list, answer)).await;
+    let _ = commands.send(Command::AuditMembers(list, reply)).await;
     let Ok(dead) = dead.await else { return Ok(()) };
     for entry in entries.iter().filter(|entry| dead.contains(&entry.member.address)) {
         remove(store, entry, era).await?;
--- a/crates/node/src/member_list.rs
+++ b/crates/node/src/member_list.rs
@@ -3,8 +3,8 @@
 //! A list counts as whole only when it is no older than the own entry: of two nodes that start together at
 //! least one then learns of the other, and tells it.
 
-use crate::command::{Command, MemberNews};
-use crate::pace::Pace;
+use crate::backoff::Backoff;
+use crate::command::{Command, MemberUpdate};
 use crate::shared_store::{Consistency, Member, MemberList, SharedStore, StoreFailure};
 use loftdrift_carried::{NodeRole, Position};
 use std::time::Duration;
@@ -12,43 +12,44 @@
 
 /// Pauses between readings of lists that may be old, until they have the own entry: such lists are
 /// two to three seconds old.
-const OLD_LIST_PAUSES: [Duration; 2] = [Duration::from_millis(1_500), Duration::from_millis(3_500)];
+const STALE_LIST_RETRY_DELAYS: [Duration; 2] =
+    [Duration::from_millis(1_500), Duration::from_millis(3_500)];
 /// First pause after a failure, a few times what the store takes to answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// How a node came to stand in the list.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Entered {
+pub(crate) enum Origin {
     /// An earlier process has left the entry.
-    Before,
+    Existing,
     /// Written there for the first time.
-    At(Position),
+    Written(Position),
     /// Written there again, the store having lost it: an old list may show the one before.
-    Again(Position),
+    Rewritten(Position),
 }
 
-impl Entered {
+impl Origin {
     /// The same entry, written once more.
-    pub(crate) fn again(self) -> Self {
+    pub(crate) fn rewritten(self) -> Self {
         match self {
-            Entered::Before => Entered::Before,
-            Entered::At(position) | Entered::Again(position) => Entered::Again(position),
+            Origin::Existing => Origin::Existing,
+            Origin::Written(position) | Origin::Rewritten(position) => Origin::Rewritten(position),
         }
     }
 
     /// The era of the store in which this process has written the entry.
     pub(crate) fn era(self) -> Option<u64> {
         match self {
-            Entered::Before => None,
-            Entered::At(position) | Entered::Again(position) => Some(position.era),
+            Origin::Existing => None,
+            Origin::Written(position) | Origin::Rewritten(position) => Some(position.era),
         }
     }
 }
 
 /// Reads the lists of those that a node speaks with.
 #[derive(Clone, Debug)]
-pub(crate) struct ListReader<S> {
+pub(crate) struct MemberListReader<S> {
     pub(crate) store: S,
     pub(crate) member: Member,
     pub(crate) commands: mpsc::Sender<Command>,
@@ -56,14 +57,14 @@
     pub(crate) is_first_start: bool,
 }
 
-impl<S: SharedStore> ListReader<S> {
+impl<S: SharedStore> MemberListReader<S> {
     /// Reads lists until they name every node that was entered before this one, however often that
     /// takes.
-    pub(crate) async fn read_until_whole(&self, entered: Entered) {
-        let mut pace = Pace::new(FIRST_PAUSE, LONGEST_PAUSE);
+    pub(crate) async fn read_until_complete(&self, origin: Origin) {
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         // The store's failures are told by whoever waits there, and counted.
-        while self.read_whole(entered).await.is_err() && !self.commands.is_closed() {
-            pace.pause().await;
+        while self.read_complete(origin).await.is_err() && !self.commands.is_closed() {
+            backoff.wait().await;
         }
     }
 
@@ -72,27 +73,30 @@
         self.read(Consistency::MayBeStale, None).await.map(drop)
     }
 
-    async fn read_whole(&self, entered: Entered) -> Result<(), StoreFailure> {
-        let entered_at = match entered {
+    async fn read_complete(&self, origin: Origin) -> Result<(), StoreFailure> {
+        let written_at = match origin {
             // An agent decides nothing by who it does not know.
-            Entered::Before if self.member.role == NodeRole::Agent => return self.read_any().await,
-            Entered::Again(_) => return self.read(Consistency::Latest, None).await.map(drop),
-            Entered::Before => None,
-            Entered::At(position) => Some(position),
+            Origin::Existing if self.member.role == NodeRole::Agent => {
+                return self.read_any().await;
+            }
+            Origin::Rewritten(_) => return self.read(Consistency::Latest, None).await.map(drop),
+            Origin::Existing => None,
+            Origin::Written(position) => Some(position),
         };
         // Until a balancer has the whole list it tells no caller that nobody holds a flow: only
         // where there are no flows of before may that take seconds.
-        let may_wait = self.is_first_start || self.member.role == NodeRole::Agent;
-        let mut is_whole = self.read(Consistency::MayBeStale, entered_at).await?;
-        let pauses: &[Duration] = if may_wait { &OLD_LIST_PAUSES } else { &[] };
-        for pause in pauses {
-            if is_whole {
+        let may_retry_stale = self.is_first_start || self.member.role == NodeRole::Agent;
+        let mut is_complete = self.read(Consistency::MayBeStale, written_at).await?;
+        let retry_delays: &[Duration] =
+            if may_retry_stale { &STALE_LIST_RETRY_DELAYS } else { &[] };
+        for delay in retry_delays {
+            if is_complete {
                 return Ok(());
             }
-            tokio::time::sleep(*pause).await;
-            is_whole = self.read(Consistency::MayBeStale, entered_at).await?;
+            tokio::time::sleep(*delay).await;
+            is_complete = self.read(Consistency::MayBeStale, written_at).await?;
         }
-        if !is_whole {
+        if !is_complete {
             self.read(Consistency::Latest, None).await?;
         }
         Ok(())
@@ -101,26 +105,28 @@
     /// Reads the lists; `true` when they are whole.
     async fn read(
         &self,
-        currency: Consistency,
-        entered_at: Option<Position>,
+        consistency: Consistency,
+        written_at: Option<Position>,
     ) -> Result<bool, StoreFailure> {
-        let mut lists = vec![self.store.read_members(NodeRole::Balancer, currency).await?];
+        let mut lists = vec![self.store.read_members(NodeRole::Balancer, consistency).await?];
         // Agents have nothing to say to each other.
         if self.member.role == NodeRole::Balancer {
-            lists.push(self.store.read_members(NodeRole::Agent, currency).await?);
+            lists.push(self.store.read_members(NodeRole::Agent, consistency).await?);
         }
-        let has_own = entered_at.is_some_and(|at| lists.iter().all(|list| has_all_up_to(list, at)));
-        let is_whole = currency == Consistency::Latest || has_own;
+        let includes_own =
+            written_at.is_some_and(|at| lists.iter().all(|list| includes_all_until(list, at)));
+        let is_complete = consistency == Consistency::Latest || includes_own;
         let entries = lists.iter().flat_map(|list| &list.entries);
         let members = entries.map(|entry| (entry.member.address, entry.member.role)).collect();
         // Nobody listens only while the process ends.
-        let _ = self.commands.send(Command::Learn(MemberNews { members, is_whole })).await;
-        Ok(is_whole)
+        let _ =
+            self.commands.send(Command::LearnMembers(MemberUpdate { members, is_complete })).await;
+        Ok(is_complete)
     }
 }
 
 /// Whether a list that may be old names all that were entered up to a place. Where the store has come back
 /// before, it may be from before the return: its revisions are other writings' then.
-fn has_all_up_to(list: &MemberList, place: Position) -> bool {
-    !place.follows_a_return() && list.position >= place
+fn includes_all_until(list: &MemberList, position: Position) -> bool {
+    !position.follows_a_return() && list.position >= position
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,6 +1,6 @@
 //! The page of metrics: what the core, the store's client and the log have counted.
 
-use crate::command::{Command, Measures};
+use crate::command::{Command, CoreMetrics};
 use crate::counted_store::StoreMeter;
 use hyper::StatusCode;
 use loftdrift_counters::{CounterSet, PublishedSet, counter_set, render};
@@ -9,7 +9,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-const PATH: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 counter_set! {
     /// What the log has counted.
@@ -41,12 +41,12 @@
         let Metrics { role, commands, store } = self;
         loftdrift_http::serve(listener, move |request| {
             let (commands, store) = (commands.clone(), store.clone());
-            let is_here = request.uri().path() == PATH;
+            let is_metrics_path = request.uri().path() == METRICS_PATH;
             async move {
-                if !is_here {
+                if !is_metrics_path {
                     return Some(text_answer(StatusCode::NOT_FOUND, ""));
                 }
-                let page = page(role, &commands, &store).await?;
+                let page = render_page(role, &commands, &store).await?;
                 Some(text_answer(StatusCode::OK, page))
             }
         })
@@ -54,14 +54,14 @@
     }
 }
 
-async fn page(
+async fn render_page(
     role: &'static str,
     commands: &mpsc::Sender<Command>,
     store: &StoreMeter,
 ) -> Option<String> {
-    let (sender, measures) = oneshot::channel();
-    commands.send(Command::GiveMeasures(sender)).await.ok()?;
-    let Measures { samples, histograms } = measures.await.ok()?;
+    let (sender, metrics) = oneshot::channel();
+    commands.send(Command::GetMetrics(sender)).await.ok()?;
+    let CoreMetrics { samples, histograms } = metrics.await.ok()?;
     let log = LogCounters { lines_dropped: loftdrift_logging::lines_dropped() };
     let core = PublishedSet { role, samples, histograms };
     let log = PublishedSet { role: "log", samples: log.samples(), histograms: Vec::new() };
--- a/crates/node/src/operator_document.rs
+++ b/crates/node/src/operator_document.rs
@@ -14,7 +14,7 @@
     }
 
     /// Takes what a wait brought; the document, if it has changed.
-    pub(crate) fn take(&mut self, change: OperatorChange) -> Option<CarriedConfiguration> {
+    pub(crate) fn apply(&mut self, change: OperatorChange) -> Option<CarriedConfiguration> {
         self.configuration = change.configuration.or(self.configuration.take());
         for (zone, is_evacuated) in change.evacuations {
             match is_evacuated {
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -9,21 +9,21 @@
 use tokio::sync::mpsc;
 
 /// A port on the same machine refuses at once; one that says nothing may be behind a full queue.
-const TIMEOUT: Duration = Duration::from_millis(150);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// Tries to connect whenever the core asks for it.
-pub(crate) async fn answer(
-    mut questions: mpsc::Receiver<SocketAddrV4>,
+pub(crate) async fn run(
+    mut requests: mpsc::Receiver<SocketAddrV4>,
     commands: mpsc::Sender<Command>,
 ) {
-    while let Some(backend) = questions.recv().await {
-        let connected = tokio::time::timeout(TIMEOUT, TcpStream::connect(backend)).await;
+    while let Some(backend) = requests.recv().await {
+        let connected = tokio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(backend)).await;
         let outcome = match connected {
             Ok(Err(error)) if error.kind() == ErrorKind::ConnectionRefused => ProbeOutcome::Refused,
             Ok(_) => ProbeOutcome::MayLive,
             Err(_) => ProbeOutcome::Unanswered,
         };
-        if commands.send(Command::Probed(outcome)).await.is_err() {
+        if commands.send(Command::ProbeFinished(outcome)).await.is_err() {
             return;
         }
     }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -1,21 +1,21 @@
 //! Wires a node: sockets, core, and the tasks around it.
 
 use crate::agent_core::AgentCore;
-use crate::allowance::Allowance;
 use crate::balancer_core::BalancerCore;
 use crate::command::{Command, NodeStatus};
-use crate::configuration_follower::{Follower, head_start};
+use crate::configuration_follower::{ConfigurationFollower, initial_fetch_delay};
 use crate::core::Core;
 use crate::counted_store::CountedStore;
-use crate::member_list::ListReader;
+use crate::driver::Driver;
+use crate::member_list::MemberListReader;
 use crate::metrics::Metrics;
 use crate::registration::Registration;
 use crate::request_decoder::{Request, RequestDecoder, RequestKind};
 use crate::settings::{AgentSettings, BalancerSettings, NodeSettings, RoleSettings};
 use crate::shared_store::{Consistency, Member, SharedStore};
-use crate::shell::Shell;
+use crate::snapshot_budget::SnapshotBudget;
 use crate::{
-    health, member_audit, probe, registration, reloading, snapshots, stopping, store_reader,
+    health, member_audit, probe, registration, settings_check, shutdown, snapshots, store_reader,
 };
 use anyhow::{Context, Result};
 use http_body_util::{BodyExt, Limited};
@@ -34,13 +34,13 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-const COMMAND_QUEUE: usize = 64;
-const FETCH_QUEUE: usize = 1;
-const READING_QUEUE: usize = 1;
-const PROBE_QUEUE: usize = 1;
-const AUDIT_QUEUE: usize = 1;
-const REWRITE_QUEUE: usize = 1;
-const BITS_A_MEGABIT: f64 = 1e6;
+const COMMAND_QUEUE_CAPACITY: usize = 64;
+const SNAPSHOT_FETCH_QUEUE_CAPACITY: usize = 1;
+const STORE_READ_QUEUE_CAPACITY: usize = 1;
+const PROBE_QUEUE_CAPACITY: usize = 1;
+const AUDIT_QUEUE_CAPACITY: usize = 1;
+const ENTRY_REWRITE_QUEUE_CAPACITY: usize = 1;
+const BITS_PER_MEGABIT: f64 = 1e6;
 /// Largest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
 /// A node whose command queue is not served for so long refuses the request.
@@ -49,21 +49,20 @@
 const SOCKET_BUFFER_BYTES: usize = 1024 * 1024;
 
 /// Runs a node until it is asked to stop.
-pub async fn run<F: SegmentFormat, S: SharedStore, I: RequestDecoder>(
+pub async fn run<F: SegmentFormat, S: SharedStore, D: RequestDecoder>(
     file: PathBuf,
     settings: NodeSettings,
     format: F,
-    interface: I,
+    decoder: D,
     store: S,
 ) -> Result<()> {
-    let reloads = reloading::requests()?;
-    let _reloading = AbortOnDrop(tokio::spawn(reloading::follow(reloads, file, settings.clone())));
+    let hangups = settings_check::hangup_signals()?;
+    let _settings_check =
+        AbortOnDrop(tokio::spawn(settings_check::check_on_hangup(hangups, file, settings.clone())));
     let store = CountedStore::new(store);
     match settings.role_settings.clone() {
-        RoleSettings::Balancer(place) => {
-            run_balancer(settings, place, format, interface, store).await
-        }
-        RoleSettings::Agent(place) => run_agent(settings, place, format, interface, store).await,
+        RoleSettings::Balancer(role) => run_balancer(settings, role, format, decoder, store).await,
+        RoleSettings::Agent(role) => run_agent(settings, role, format, decoder, store).await,
     }
 }
 
@@ -76,11 +75,11 @@
     }
 }
 
-async fn run_balancer<F: SegmentFormat, S: SharedStore, I: RequestDecoder>(
+async fn run_balancer<F: SegmentFormat, S: SharedStore, D: RequestDecoder>(
     settings: NodeSettings,
-    place: BalancerSettings,
+    role: BalancerSettings,
     format: F,
-    interface: I,
+    decoder: D,
     store: CountedStore<S>,
 ) -> Result<()> {
     let core = BalancerCore {
@@ -93,33 +92,33 @@
             },
             format,
         ),
-        caller_port: place.ingress.port(),
+        caller_port: role.ingress.port(),
         last_packet: Duration::ZERO,
     };
-    let mut node = Wiring::open(&settings, core, place.ingress).await?;
-    let follower = Follower {
+    let mut node = NodeTasks::start(&settings, core, role.ingress).await?;
+    let follower = ConfigurationFollower {
         store: store.clone(),
         status: node.status.clone(),
         commands: node.commands.clone(),
-        head_start: head_start(settings.link_mbps * BITS_A_MEGABIT),
-        lost_at: None,
+        initial_fetch_delay: initial_fetch_delay(settings.link_mbps * BITS_PER_MEGABIT),
+        unreachable_since: None,
     };
-    node.tasks.spawn(follower.follow());
-    node.run(settings, interface, store, None).await
+    node.tasks.spawn(follower.run());
+    node.run(settings, decoder, store, None).await
 }
 
-async fn run_agent<F: SegmentFormat, S: SharedStore, I: RequestDecoder>(
+async fn run_agent<F: SegmentFormat, S: SharedStore, D: RequestDecoder>(
     settings: NodeSettings,
-    place: AgentSettings,
+    role: AgentSettings,
     format: F,
-    interface: I,
+    decoder: D,
     store: CountedStore<S>,
 ) -> Result<()> {
     let core = AgentCore {
         agent: CarriedAgent::new(
             CarriedAgentSettings {
                 node: settings.node.clone(),
-                service: place.service.clone(),
+                service: role.service.clone(),
                 longest_flow: settings.longest_flow,
                 cold_overshoot: settings.cold_overshoot,
                 policies: settings.policies,
@@ -127,73 +126,73 @@
             },
             format,
         ),
-        backend: place.backend,
-        caller_port: place.caller_port,
+        backend: role.backend,
+        caller_port: role.caller_port,
     };
-    let mut node = Wiring::open(&settings, core, place.outbound).await?;
-    let asking = health::ask(place.backend, node.status.clone(), node.commands.clone());
-    node.tasks.spawn(asking);
-    node.run(settings, interface, store, Some(place.control)).await
+    let mut node = NodeTasks::start(&settings, core, role.outbound).await?;
+    let health_check = health::check(role.backend, node.status.clone(), node.commands.clone());
+    node.tasks.spawn(health_check);
+    node.run(settings, decoder, store, Some(role.control)).await
 }
 
 /// A node whose core runs, with what its other tasks need.
-struct Wiring {
+struct NodeTasks {
     commands: mpsc::Sender<Command>,
     status: watch::Receiver<NodeStatus>,
     /// The core asks for a reading of the store.
-    readings: mpsc::Receiver<()>,
+    store_reads: mpsc::Receiver<()>,
     /// The core asks for an audit of the list of nodes.
     audits: mpsc::Receiver<Consistency>,
     /// The core has heard that the node's entry is missing.
-    missing: mpsc::Receiver<()>,
+    entry_missing: mpsc::Receiver<()>,
     tasks: JoinSet<()>,
 }
 
-impl Wiring {
-    async fn open(settings: &NodeSettings, core: impl Core, local: SocketAddrV4) -> Result<Self> {
-        let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE);
+impl NodeTasks {
+    async fn start(settings: &NodeSettings, core: impl Core, local: SocketAddrV4) -> Result<Self> {
+        let (commands, command_queue) = mpsc::channel(COMMAND_QUEUE_CAPACITY);
         let (status_sender, status) = watch::channel(NodeStatus::default());
-        let (fetches, fetch_queue) = mpsc::channel(FETCH_QUEUE);
-        let (readings, reading_queue) = mpsc::channel(READING_QUEUE);
-        let (probes, probe_queue) = mpsc::channel(PROBE_QUEUE);
-        let (audits, audit_queue) = mpsc::channel(AUDIT_QUEUE);
-        let (rewrites, missing) = mpsc::channel(REWRITE_QUEUE);
+        let (snapshot_fetches, snapshot_fetch_queue) = mpsc::channel(SNAPSHOT_FETCH_QUEUE_CAPACITY);
+        let (store_reads, store_read_queue) = mpsc::channel(STORE_READ_QUEUE_CAPACITY);
+        let (probes, probe_queue) = mpsc::channel(PROBE_QUEUE_CAPACITY);
+        let (audits, audit_queue) = mpsc::channel(AUDIT_QUEUE_CAPACITY);
+        let (entry_rewrites, entry_missing) = mpsc::channel(ENTRY_REWRITE_QUEUE_CAPACITY);
         let listener = bind_tcp("snapshots", settings.node.address).await?;
-        let shell = Shell {
+        let driver = Driver {
             core,
             started: Instant::now(),
             local: bind_udp("packets", local).await?,
             peers: bind_udp("messages", settings.node.address).await?,
             commands: command_queue,
             status: status_sender,
-            fetches,
-            readings,
+            snapshot_fetches,
+            store_reads,
             probes,
             audits,
-            rewrites,
-            local_age: InputAge::default(),
+            entry_rewrites,
+            local_input_age: InputAge::default(),
         };
         let mut tasks = JoinSet::new();
-        tasks.spawn(shell.run());
-        tasks.spawn(probe::answer(probe_queue, commands.clone()));
-        let allowance = Allowance::of_link(settings.link_mbps * BITS_A_MEGABIT);
-        tasks.spawn(snapshots::give(listener, allowance, commands.clone()));
-        tasks.spawn(snapshots::fetch_named(fetch_queue, commands.clone()));
+        tasks.spawn(driver.run());
+        tasks.spawn(probe::run(probe_queue, commands.clone()));
+        let budget = SnapshotBudget::for_link(settings.link_mbps * BITS_PER_MEGABIT);
+        tasks.spawn(snapshots::serve(listener, budget, commands.clone()));
+        tasks.spawn(snapshots::fetch_requested(snapshot_fetch_queue, commands.clone()));
         tasks.spawn(snapshots::fetch_from_seeds(settings.seeds.clone(), commands.clone()));
-        Ok(Wiring {
+        Ok(NodeTasks {
             commands,
             status,
-            readings: reading_queue,
+            store_reads: store_read_queue,
             audits: audit_queue,
-            missing,
+            entry_missing,
             tasks,
         })
     }
 
-    async fn run<S: SharedStore, I: RequestDecoder>(
+    async fn run<S: SharedStore, D: RequestDecoder>(
         mut self,
         settings: NodeSettings,
-        interface: I,
+        decoder: D,
         store: CountedStore<S>,
         control: Option<SocketAddrV4>,
     ) -> Result<()> {
@@ -203,24 +202,24 @@
             role: settings.node.role,
         };
         let store_meter = store.meter();
-        let reading = store_reader::read(store.clone(), self.readings, self.commands.clone());
-        self.tasks.spawn(reading);
-        let audit = member_audit::audit(store.clone(), self.audits, self.commands.clone());
+        let store_read = store_reader::run(store.clone(), self.store_reads, self.commands.clone());
+        self.tasks.spawn(store_read);
+        let audit = member_audit::run(store.clone(), self.audits, self.commands.clone());
         self.tasks.spawn(audit);
-        let lists = ListReader {
+        let lists = MemberListReader {
             store: store.clone(),
             member: member.clone(),
             commands: self.commands.clone(),
             is_first_start: settings.is_first_start,
         };
         let registration =
-            Registration { lists, missing: self.missing, status: self.status.clone() };
-        self.tasks.spawn(registration.keep());
+            Registration { lists, entry_missing: self.entry_missing, status: self.status.clone() };
+        self.tasks.spawn(registration.run());
         for address in [settings.readiness, control].into_iter().flatten() {
             let listener = bind_tcp("requests", address).await?;
             self.tasks.spawn(serve_requests(
                 listener,
-                interface.clone(),
+                decoder.clone(),
                 self.commands.clone(),
                 self.status.clone(),
             ));
@@ -233,32 +232,33 @@
         }
         let status = self.status.clone();
         let outcome =
-            stopping::stopped(settings.stop_grace, is_balancer, self.commands, self.status).await?;
-        if status.borrow().has_ended {
-            registration::leave(store, &member).await;
+            shutdown::wait_for_stop(settings.stop_grace, is_balancer, self.commands, self.status)
+                .await?;
+        if status.borrow().backend_ended {
+            registration::deregister(store, &member).await;
         }
         log::info!(outcome; "stopped");
         Ok(())
     }
 }
 
-async fn serve_requests<I: RequestDecoder>(
+async fn serve_requests<D: RequestDecoder>(
     listener: TcpListener,
-    interface: I,
+    decoder: D,
     commands: mpsc::Sender<Command>,
     status: watch::Receiver<NodeStatus>,
 ) {
     loftdrift_http::serve(listener, move |request| {
-        let (interface, commands) = (interface.clone(), commands.clone());
+        let (decoder, commands) = (decoder.clone(), commands.clone());
         let is_ready = status.borrow().is_ready;
-        async move { Some(answer_request(request, interface, commands, is_ready).await) }
+        async move { Some(answer_request(request, decoder, commands, is_ready).await) }
     })
     .await;
 }
 
-async fn answer_request<I: RequestDecoder>(
+async fn answer_request<D: RequestDecoder>(
     request: hyper::Request<Incoming>,
-    interface: I,
+    decoder: D,
     commands: mpsc::Sender<Command>,
     is_ready: bool,
 ) -> Answer {
@@ -268,22 +268,22 @@
     };
     let body = body.to_bytes();
     let method = head.method.as_str();
-    match interface.decode(Request { method, path: head.uri.path(), body: &body }) {
+    match decoder.decode(Request { method, path: head.uri.path(), body: &body }) {
         RequestKind::Readiness if is_ready => text_answer(StatusCode::OK, ""),
         RequestKind::Readiness => text_answer(StatusCode::SERVICE_UNAVAILABLE, ""),
         RequestKind::Report(report) => {
-            match tell(&commands, |done| Command::Report(report, done)).await {
+            match call(&commands, |reply| Command::BackendReport(report, reply)).await {
                 Some(ReportOutcome::Foreign) => text_answer(StatusCode::CONFLICT, ""),
                 outcome => acknowledge(outcome.map(|_| ())),
             }
         }
-        RequestKind::Departure(gone) => {
-            acknowledge(tell(&commands, |done| Command::Departure(gone, done)).await)
+        RequestKind::Departure(departed) => {
+            acknowledge(call(&commands, |reply| Command::BackendDeparture(departed, reply)).await)
         }
         RequestKind::Malformed(reason) => {
             log::warn!(reason = reason.as_str(), path = head.uri.path(); "request_malformed");
             // Only counted: where the queue is full the answer does not wait for it.
-            let _ = commands.try_send(Command::Unreadable);
+            let _ = commands.try_send(Command::UnreadableReport);
             text_answer(StatusCode::BAD_REQUEST, reason)
         }
         RequestKind::Unknown => text_answer(StatusCode::NOT_FOUND, ""),
@@ -291,21 +291,21 @@
 }
 
 /// Has the core take something; `None` when it has not done so in time.
-async fn tell<T>(
+async fn call<T>(
     commands: &mpsc::Sender<Command>,
     command: impl FnOnce(oneshot::Sender<T>) -> Command,
 ) -> Option<T> {
-    let (done, taken) = oneshot::channel();
-    let told = async {
-        commands.send(command(done)).await.ok()?;
-        taken.await.ok()
+    let (reply_sender, reply) = oneshot::channel();
+    let exchange = async {
+        commands.send(command(reply_sender)).await.ok()?;
+        reply.await.ok()
     };
-    tokio::time::timeout(COMMAND_TIMEOUT, told).await.ok().flatten()
+    tokio::time::timeout(COMMAND_TIMEOUT, exchange).await.ok().flatten()
 }
 
 /// Answers a back end whose word the core has taken, or has not taken in time.
-fn acknowledge(taken: Option<()>) -> Answer {
-    if taken.is_none() {
+fn acknowledge(reply: Option<()>) -> Answer {
+    if reply.is_none() {
         return text_answer(StatusCode::SERVICE_UNAVAILABLE, "");
     }
     let mut answer = text_answer(StatusCode::OK, "{}");
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -14,17 +14,17 @@
 /// No more than the configuration tells.
 const DEFAULT_COLD_OVERSHOOT: f64 = 1.0;
 /// Below this a back end is given less than it bears, above the limit means nothing.
-const LEAST_COLD_OVERSHOOT: f64 = 0.1;
-const MOST_COLD_OVERSHOOT: f64 = 100.0;
+const MIN_COLD_OVERSHOOT: f64 = 0.1;
+const MAX_COLD_OVERSHOOT: f64 = 100.0;
 /// The usual link of a small machine.
 const DEFAULT_LINK_MBPS: f64 = 1_000.0;
 /// Below this no service is carried; above the limit means a wrong unit.
-const LEAST_LINK_MBPS: f64 = 1.0;
-const MOST_LINK_MBPS: f64 = 1e6;
+const MIN_LINK_MBPS: f64 = 1.0;
+const MAX_LINK_MBPS: f64 = 1e6;
 /// The shortest of the users.
 const DEFAULT_CONFIGURATION_BOUND_MS: u64 = 3_000;
 /// Heartbeats and calls to the store take their time; nothing is in force everywhere sooner.
-const LEAST_CONFIGURATION_BOUND_MS: u64 = 500;
+const MIN_CONFIGURATION_BOUND_MS: u64 = 500;
 
 /// Settings of a node.
 #[derive(Clone, Debug, PartialEq)]
@@ -114,18 +114,20 @@
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
                 findings.add(offset, error.message(), "TOML");
-                return findings.finish(None).and_then(|none| none.ok_or_else(|| empty(file)));
+                return findings
+                    .finish(None)
+                    .and_then(|none| none.ok_or_else(|| no_findings(file)));
             }
         };
         let mut reader = Reader::new(&mut findings, document.as_table(), overrides);
         let settings = read_node(&mut reader, incarnation);
         reader.finish();
-        findings.finish(settings)?.ok_or_else(|| empty(file))
+        findings.finish(settings)?.ok_or_else(|| no_findings(file))
     }
 }
 
 /// Findings of a file whose settings are not whole though nothing was found; never shown.
-fn empty(file: &str) -> Findings {
+fn no_findings(file: &str) -> Findings {
     Findings { file: file.to_owned(), list: Vec::new() }
 }
 
@@ -142,19 +144,19 @@
     let seeds = reader.addresses("seeds");
     let bound = reader.count(
         "configuration_bound_ms",
-        LEAST_CONFIGURATION_BOUND_MS,
+        MIN_CONFIGURATION_BOUND_MS,
         DEFAULT_CONFIGURATION_BOUND_MS,
     );
     let cold_overshoot = reader.number(
         "cold_overshoot",
-        LEAST_COLD_OVERSHOOT,
-        MOST_COLD_OVERSHOOT,
+        MIN_COLD_OVERSHOOT,
+        MAX_COLD_OVERSHOOT,
         DEFAULT_COLD_OVERSHOOT,
     );
-    let link_mbps = reader.number("link_mbps", LEAST_LINK_MBPS, MOST_LINK_MBPS, DEFAULT_LINK_MBPS);
+    let link_mbps = reader.number("link_mbps", MIN_LINK_MBPS, MAX_LINK_MBPS, DEFAULT_LINK_MBPS);
     let evacuation_bound = reader.count(
         "evacuation_bound_ms",
-        LEAST_CONFIGURATION_BOUND_MS,
+        MIN_CONFIGURATION_BOUND_MS,
         bound.unwrap_or(DEFAULT_CONFIGURATION_BOUND_MS),
     );
     let stop_grace = reader.seconds("stop_grace_s", DEFAULT_STOP_GRACE_SECONDS);
--- a/crates/node/src/reloading.rs
+++ b/crates/node/src/settings_check.rs
@@ -8,13 +8,13 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Listens for SIGHUP from now on.
-pub(crate) fn requests() -> Result<Signal> {
+pub(crate) fn hangup_signals() -> Result<Signal> {
     signal(SignalKind::hangup()).context("cannot listen for SIGHUP")
 }
 
 /// Checks the settings file at each request and tells what became of it.
-pub(crate) async fn follow(mut requests: Signal, file: PathBuf, in_force: NodeSettings) {
-    while requests.recv().await.is_some() {
+pub(crate) async fn check_on_hangup(mut hangups: Signal, file: PathBuf, in_force: NodeSettings) {
+    while hangups.recv().await.is_some() {
         check(&file, &in_force);
     }
 }
--- a/crates/node/src/shared_store.rs
+++ b/crates/node/src/shared_store.rs
@@ -104,7 +104,7 @@
     /// Reads what operators have written.
     fn read_operator_state(
         &self,
-        currency: Consistency,
+        consistency: Consistency,
     ) -> impl Future<Output = Result<OperatorState, StoreFailure>> + Send;
 
     /// Waits up to `patience` for operators to write something after a position. The answer may be of
@@ -112,7 +112,7 @@
     fn wait_for_change(
         &self,
         after: Position,
-        patience: Duration,
+        timeout: Duration,
     ) -> impl Future<Output = Result<OperatorChange, StoreFailure>> + Send;
 
     /// Writes a node's entry; gives where the entry stands.
@@ -126,20 +126,20 @@
     fn remove_member(
         &self,
         member: &Member,
-        written_at: Option<u64>,
+        expected_revision: Option<u64>,
     ) -> impl Future<Output = Result<Position, StoreFailure>> + Send;
 
     /// Reads what stands under a node's name; `None` where that cannot be read.
     fn read_member(
         &self,
         member: &Member,
-        currency: Consistency,
+        consistency: Consistency,
     ) -> impl Future<Output = Result<Option<Member>, StoreFailure>> + Send;
 
     /// Reads all entries of nodes of a role.
     fn read_members(
         &self,
         role: NodeRole,
-        currency: Consistency,
+        consistency: Consistency,
     ) -> impl Future<Output = Result<MemberList, StoreFailure>> + Send;
 }
--- a/crates/node/src/stopping.rs
+++ b/crates/node/src/shutdown.rs
@@ -7,12 +7,12 @@
 use tokio::sync::{mpsc, watch};
 
 /// The platform looks for readiness a few times before it turns callers away.
-const TURN_AWAY: Duration = Duration::from_millis(1_200);
+const READINESS_DELAY: Duration = Duration::from_millis(1_200);
 /// Kept free of the grace, so that the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(700);
+const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
 /// Ends once the process has been asked to stop and has nothing left to do, or has no more time.
-pub(crate) async fn stopped(
+pub(crate) async fn wait_for_stop(
     grace: Duration,
     is_balancer: bool,
     commands: mpsc::Sender<Command>,
@@ -28,10 +28,10 @@
     let _ = commands.send(Command::Drain).await;
     let drained = async {
         if is_balancer {
-            tokio::time::sleep(TURN_AWAY).await;
+            tokio::time::sleep(READINESS_DELAY).await;
         }
         let _ = status.wait_for(|status| status.is_drained).await;
     };
-    let outcome = tokio::time::timeout(grace.saturating_sub(MARGIN), drained).await;
+    let outcome = tokio::time::timeout(grace.saturating_sub(EXIT_MARGIN), drained).await;
     Ok(if outcome.is_ok() { "drained" } else { "grace_over" })
 }
--- a/crates/node/src/snapshots.rs
+++ b/crates/node/src/snapshots.rs
@@ -5,8 +5,8 @@
 //! within a share of its link, and ends other connections at once; whoever got nothing hears of
 //! the version from others as well, and the first that have it give it on.
 
-use crate::allowance::Allowance;
 use crate::command::Command;
+use crate::snapshot_budget::SnapshotBudget;
 use loftdrift_carried::Snapshot;
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -18,16 +18,16 @@
 /// A node that has not given its snapshot in this time is not waited for.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 /// A node that has not taken its snapshot in this time is left.
-const GIVE_TIMEOUT: Duration = Duration::from_secs(2);
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
 /// Largest snapshot that is read, in bytes.
-const MAX_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_SNAPSHOT_BYTES: u64 = 4 * 1024 * 1024;
 /// Time between two fetches, so that changes in quick succession are taken together.
 const FETCH_INTERVAL: Duration = Duration::from_millis(60);
 
 /// Gives snapshots until nobody listens.
-pub(crate) async fn give(
+pub(crate) async fn serve(
     listener: TcpListener,
-    mut allowance: Allowance,
+    mut budget: SnapshotBudget,
     commands: mpsc::Sender<Command>,
 ) {
     let started = Instant::now();
@@ -36,23 +36,23 @@
             tokio::time::sleep(FETCH_INTERVAL).await;
             continue;
         };
-        if !allowance.may_give(started.elapsed()) {
+        if !budget.may_send(started.elapsed()) {
             log::debug!("snapshot_refused");
             continue;
         }
-        let Some(snapshot) = take(&commands).await else { return };
+        let Some(snapshot) = request_own(&commands).await else { return };
         let bytes = snapshot.encode();
-        allowance.take(bytes.len());
+        budget.spend(bytes.len());
         tokio::spawn(async move {
-            let _ = tokio::time::timeout(GIVE_TIMEOUT, write(stream, bytes)).await;
+            let _ = tokio::time::timeout(SEND_TIMEOUT, write(stream, bytes)).await;
         });
     }
 }
 
 /// The core's snapshot; `None` while the process ends.
-pub(crate) async fn take(commands: &mpsc::Sender<Command>) -> Option<Snapshot> {
+pub(crate) async fn request_own(commands: &mpsc::Sender<Command>) -> Option<Snapshot> {
     let (sender, receiver) = oneshot::channel();
-    commands.send(Command::GiveSnapshot(sender)).await.ok()?;
+    commands.send(Command::GetSnapshot(sender)).await.ok()?;
     receiver.await.ok()
 }
 
@@ -63,7 +63,7 @@
 }
 
 /// Fetches snapshots from nodes that are named, one after the other.
-pub(crate) async fn fetch_named(
+pub(crate) async fn fetch_requested(
     mut sources: mpsc::Receiver<SocketAddrV4>,
     commands: mpsc::Sender<Command>,
 ) {
@@ -87,7 +87,7 @@
 async fn fetch_into(source: SocketAddrV4, commands: &mpsc::Sender<Command>) {
     match tokio::time::timeout(FETCH_TIMEOUT, fetch(source)).await {
         Ok(Some(snapshot)) => {
-            let _ = commands.send(Command::TakeSnapshot(snapshot)).await;
+            let _ = commands.send(Command::InstallSnapshot(snapshot)).await;
         }
         Ok(None) | Err(_) => log::debug!(from:% = source; "snapshot_not_fetched"),
     }
@@ -96,6 +96,6 @@
 async fn fetch(source: SocketAddrV4) -> Option<Snapshot> {
     let stream = TcpStream::connect(source).await.ok()?;
     let mut bytes = Vec::new();
-    stream.take(MAX_BYTES).read_to_end(&mut bytes).await.ok()?;
+    stream.take(MAX_SNAPSHOT_BYTES).read_to_end(&mut bytes).await.ok()?;
     Snapshot::decode(&bytes)
 }
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -7,20 +7,20 @@
 use tokio::sync::mpsc;
 
 /// Shortest time between two readings, whoever asks.
-const PAUSE: Duration = Duration::from_millis(500);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Reads until nobody asks any more.
-pub(crate) async fn read(
+pub(crate) async fn run(
     store: impl SharedStore,
-    mut asked: mpsc::Receiver<()>,
+    mut requests: mpsc::Receiver<()>,
     commands: mpsc::Sender<Command>,
 ) {
-    while asked.recv().await.is_some() {
-        let answered = match store.read_operator_state(Consistency::Latest).await {
+    while requests.recv().await.is_some() {
+        let is_reachable = match store.read_operator_state(Consistency::Latest).await {
             Ok(state) => {
                 if let Some(document) = state.document() {
                     // Nobody listens only while the process ends.
-                    let _ = commands.send(Command::Adopt(document)).await;
+                    let _ = commands.send(Command::AdoptConfiguration(document)).await;
                 }
                 true
             }
@@ -30,7 +30,7 @@
                 false
             }
         };
-        let _ = commands.send(Command::StoreAnswers(answered)).await;
-        tokio::time::sleep(PAUSE).await;
+        let _ = commands.send(Command::StoreReachable(is_reachable)).await;
+        tokio::time::sleep(MIN_READ_INTERVAL).await;
     }
 }
--- a/crates/node/tests/restored_store.rs
+++ b/crates/node/tests/restored_store.rs
@@ -2,8 +2,8 @@
 
 use loftdrift_carried::{CarriedConfiguration, NodeRole, Position, Version};
 use loftdrift_node::{
-    Command, Consistency, Follower, Member, MemberEntry, MemberList, NodeStatus, OperatorChange,
-    OperatorState, SharedStore, StoreFailure, audit_members,
+    Command, ConfigurationFollower, Consistency, Member, MemberEntry, MemberList, NodeStatus,
+    OperatorChange, OperatorState, SharedStore, StoreFailure, audit_members,
 };
 use std::collections::VecDeque;
 use std::net::SocketAddrV4;
@@ -98,10 +98,16 @@
         ..NodeStatus::default()
     };
     let (sender, status) = watch::channel(status);
-    let head_start = Duration::ZERO;
-    let follower = Follower { store: store.clone(), status, commands, head_start, lost_at: None };
+    let initial_fetch_delay = Duration::ZERO;
+    let follower = ConfigurationFollower {
+        store: store.clone(),
+        status,
+        commands,
+        initial_fetch_delay,
+        unreachable_since: None,
+    };
     tokio::spawn(async move {
-        follower.follow().await;
+        follower.run().await;
         drop(sender);
     });
     said
@@ -117,8 +123,8 @@
 async fn adopted(said: &mut mpsc::Receiver<Command>) -> CarriedConfiguration {
     loop {
         match hear(said).await {
-            Command::Adopt(document) => return document,
-            Command::StoreAnswers(answers) => assert!(answers, "the store answers"),
+            Command::AdoptConfiguration(document) => return document,
+            Command::StoreReachable(answers) => assert!(answers, "the store answers"),
             other => panic!("{other:?}"),
         }
     }
@@ -183,7 +189,7 @@
     let mut newest = Vec::new();
     while newest.len() < count {
         match hear(said).await {
-            Command::Audit(list, answer) => {
+            Command::AuditMembers(list, answer) => {
                 newest.push(list.is_newest);
                 let dead = list.nodes.iter().take(1).map(|node| node.address).collect();
                 answer.send(dead).unwrap();
--- a/crates/node/tests/allowance.rs
+++ b/crates/node/tests/snapshot_budget.rs
@@ -1,6 +1,6 @@
 //! Snapshots leave most of a link to callers' packets.
 
-use loftdrift_node::Allowance;
+use loftdrift_node::SnapshotBudget;
 use std::time::Duration;
 
 /// A configuration of 1,525 routes.
@@ -9,11 +9,11 @@
 
 /// Bytes given in ten seconds on a link while somebody asks all the time.
 fn given(bits_a_second: f64) -> usize {
-    let mut allowance = Allowance::of_link(bits_a_second);
+    let mut budget = SnapshotBudget::for_link(bits_a_second);
     let mut given = 0;
     for step in 0..2_000 {
-        if allowance.may_give(ASKED_EACH * step) {
-            allowance.take(SNAPSHOT_BYTES);
+        if budget.may_send(ASKED_EACH * step) {
+            budget.spend(SNAPSHOT_BYTES);
             given += SNAPSHOT_BYTES;
         }
     }
@@ -29,16 +29,16 @@
 
 #[test]
 fn the_first_who_asks_is_given_one_on_any_link() {
-    assert!(Allowance::of_link(0.1e6).may_give(Duration::ZERO));
+    assert!(SnapshotBudget::for_link(0.1e6).may_send(Duration::ZERO));
 }
 
 #[test]
 fn what_was_saved_up_is_bounded() {
-    let mut allowance = Allowance::of_link(10e6);
+    let mut budget = SnapshotBudget::for_link(10e6);
     let later = Duration::from_secs(3_600);
     let mut given = 0;
-    while allowance.may_give(later) {
-        allowance.take(SNAPSHOT_BYTES);
+    while budget.may_send(later) {
+        budget.spend(SNAPSHOT_BYTES);
         given += 1;
     }
     assert!(given <= 2, "{given}");
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -13,11 +13,11 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// A watch that says nothing is trusted for about so long: a third of the time in which a change is to be in
 /// force everywhere.
-const QUIET: Duration = Duration::from_secs(6);
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
 #[derive(Debug, Error)]
 enum FollowError {
@@ -28,7 +28,7 @@
     #[error("the watch ended")]
     WatchEnded,
     #[error("nobody needs the configuration any more")]
-    NobodyListens,
+    NoSubscribers,
 }
 
 /// Publishes each configuration that the store holds, until nobody listens.
@@ -40,36 +40,36 @@
     seed: u64,
     published: watch::Sender<Option<Arc<Configuration>>>,
 ) {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut pause = FIRST_PAUSE;
-    let mut reachable = true;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut backoff = INITIAL_BACKOFF;
+    let mut is_reachable = true;
     loop {
-        let mut progressed = false;
+        let mut has_read = false;
         // Many processes that started together do not ask at the same moment.
-        let quiet = QUIET.mul_f64(random.random_range(0.75..1.25));
-        let error = match read_and_watch(&store, &published, quiet, &mut progressed).await {
-            Err(FollowError::NobodyListens) => return,
+        let idle_timeout = WATCH_IDLE_TIMEOUT.mul_f64(rng.random_range(0.75..1.25));
+        let error = match read_and_watch(&store, &published, idle_timeout, &mut has_read).await {
+            Err(FollowError::NoSubscribers) => return,
             Err(error) => error,
             Ok(()) => FollowError::WatchEnded,
         };
-        if progressed {
-            pause = FIRST_PAUSE;
-            reachable = true;
+        if has_read {
+            backoff = INITIAL_BACKOFF;
+            is_reachable = true;
         }
-        if reachable {
+        if is_reachable {
             log::warn!(error:% = error; "configuration store lost, keeping the last configuration");
-            reachable = false;
+            is_reachable = false;
         }
-        tokio::time::sleep(pause.mul_f64(random.random_range(0.5..1.5))).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(backoff.mul_f64(rng.random_range(0.5..1.5))).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 async fn read_and_watch(
     store: &StoreClient,
     published: &watch::Sender<Option<Arc<Configuration>>>,
-    quiet: Duration,
-    progressed: &mut bool,
+    idle_timeout: Duration,
+    has_read: &mut bool,
 ) -> Result<(), FollowError> {
     let request = StoreRequest::ReadPrefix { prefix: KEY_PREFIX.to_owned() };
     let StoreReply::Keys { keys, revision } = store.send(&request).await? else {
@@ -77,13 +77,13 @@
     };
     let mut documents = Documents::read(&keys)?;
     publish(&documents, published)?;
-    *progressed = true;
+    *has_read = true;
     let mut lines = store.watch(KEY_PREFIX, revision + 1).await?;
     loop {
         let line = tokio::select! {
             line = lines.next::<WatchLine>() => line.map_err(StoreError::from)?,
-            () = published.closed() => return Err(FollowError::NobodyListens),
-            () = tokio::time::sleep(quiet) => {
+            () = published.closed() => return Err(FollowError::NoSubscribers),
+            () = tokio::time::sleep(idle_timeout) => {
                 if is_newest(store, &documents).await? {
                     continue;
                 }
@@ -98,7 +98,7 @@
         if line.result.events.is_empty() {
             continue;
         }
-        take_events(&mut documents, line.result)?;
+        apply_events(&mut documents, line.result)?;
         publish(&documents, published)?;
     }
 }
@@ -111,7 +111,7 @@
     Ok(head.map_or(0, |head| head.mod_revision) == known.head_mod_revision())
 }
 
-fn take_events(documents: &mut Documents, response: WatchResponse) -> Result<(), DocumentError> {
+fn apply_events(documents: &mut Documents, response: WatchResponse) -> Result<(), DocumentError> {
     for event in response.events {
         if event.kind == DELETE_EVENT {
             documents.delete(&event.kv.key.0);
@@ -128,7 +128,7 @@
     published: &watch::Sender<Option<Arc<Configuration>>>,
 ) -> Result<(), FollowError> {
     if published.is_closed() {
-        return Err(FollowError::NobodyListens);
+        return Err(FollowError::NoSubscribers);
     }
     let configuration = documents.configuration();
     published.send_if_modified(|current| {
