--- a/crates/node/src/agent_core.rs
+++ b/crates/node/src/agent_core.rs
@@ -1,4 +1,4 @@
-//! The agent's core behind the shell.
+//! Adapts the agent's core to the [`Core`] trait that the driver uses.
 
 use crate::command::{CoreMetrics, MemberUpdate, NodeStatus};
 use crate::core::Core;
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An agent with the addresses that its packets go to.
+/// An agent's core with the addresses to which the driver sends its packets.
 pub(crate) struct AgentCore<F> {
     pub(crate) agent: CarriedAgent<F>,
     pub(crate) backend: SocketAddrV4,
--- a/crates/node/src/backoff.rs
+++ b/crates/node/src/backoff.rs
@@ -1,10 +1,10 @@
-//! Pauses between tries at something that fails: growing, jittered, so that many processes that
-//! lost the same thing do not return at the same moment.
+//! Exponential backoff with jitter, so that many processes that lost the same dependency do not
+//! retry at the same moment.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// The pauses of one loop of tries.
+/// The delays of one retry loop.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
     initial: Duration,
@@ -17,12 +17,12 @@
         Backoff { initial, max, next: initial }
     }
 
-    /// Something succeeded: the next pause is the first again.
+    /// Starts again with the initial delay, after a success.
     pub(crate) fn reset(&mut self) {
         self.next = self.initial;
     }
 
-    /// Waits for the next try.
+    /// Waits before the next attempt.
     pub(crate) async fn wait(&mut self) {
         let jitter = rand::rng().random_range(0.5..1.5);
         tokio::time::sleep(self.next.mul_f64(jitter)).await;
--- a/crates/node/src/balancer_core.rs
+++ b/crates/node/src/balancer_core.rs
@@ -1,4 +1,4 @@
-//! The balancer's core behind the shell.
+//! Adapts the balancer's core to the [`Core`] trait that the driver uses.
 
 use crate::command::{CoreMetrics, MemberUpdate, NodeStatus};
 use crate::core::Core;
@@ -9,10 +9,10 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Without packets of callers for so long, a stop cuts nothing.
+/// After this time without packets from callers, stopping the process interrupts no flow.
 const IDLE_PERIOD: Duration = Duration::from_millis(400);
 
-/// A balancer with the port at which callers take packets.
+/// A balancer's core with the UDP port at which callers receive packets.
 pub(crate) struct BalancerCore<F> {
     pub(crate) balancer: CarriedBalancer<F>,
     pub(crate) caller_port: u16,
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -1,4 +1,4 @@
-//! What tasks say to the one that owns the core, and what that one publishes.
+//! Messages from other tasks to the task that owns the core, and the status that it publishes.
 
 use loftdrift_carried::{
     BackendReport, CarriedConfiguration, Incarnation, NodeList, NodeRole, ProbeOutcome,
@@ -11,66 +11,68 @@
 /// A message to the task that owns the core.
 #[derive(Debug)]
 pub enum Command {
-    /// Put this configuration in force if it is newer.
+    /// Apply this configuration if it is newer than the one in force.
     AdoptConfiguration(CarriedConfiguration),
-    /// These nodes exist.
+    /// Learn these nodes from the shared store's member list.
     LearnMembers(MemberUpdate),
-    /// The shared store's list, to be compared with who lives; answered with the addresses whose
-    /// entries are to be removed.
+    /// Compare the shared store's member list with the nodes that are alive. The reply holds the
+    /// addresses whose entries are to be removed.
     AuditMembers(NodeList, oneshot::Sender<Vec<SocketAddrV4>>),
-    /// Another node's snapshot.
+    /// Apply a snapshot that was received from another node.
     InstallSnapshot(Snapshot),
-    /// Give a snapshot.
+    /// Reply with a snapshot for another node.
     GetSnapshot(oneshot::Sender<Snapshot>),
-    /// Give what was counted and measured.
+    /// Reply with the core's metrics.
     GetMetrics(oneshot::Sender<CoreMetrics>),
-    /// The back end's heartbeat; answered with what it changed, once that is in force.
+    /// Apply a heartbeat of the back end. The reply says what it changed, once that is in force.
     BackendReport(BackendReport, oneshot::Sender<ReportOutcome>),
-    /// The back end leaves; answered once it is in force.
+    /// The back end is leaving or has ended. The reply is sent once this is in force.
     BackendDeparture(Incarnation, oneshot::Sender<()>),
-    /// A word of the back end could not be read.
+    /// A request of the back end could not be parsed.
     UnreadableReport,
-    /// The back end's answer about its health.
+    /// The back end's health page has answered: whether it is healthy.
     BackendHealth(bool),
-    /// What became of an attempt to connect to the back end.
+    /// Result of an attempt to connect to the back end.
     ProbeFinished(ProbeOutcome),
-    /// Whether the shared store has answered this node; all that it answered was told before.
+    /// Whether the shared store has answered this node. Whatever it returned was sent to the core
+    /// in earlier commands.
     StoreReachable(bool),
-    /// Take nothing new.
+    /// Stop accepting new flows.
     Drain,
 }
 
-/// Nodes that the shared store's list names.
+/// Nodes read from the shared store's member list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberUpdate {
     /// The nodes.
     pub members: Vec<(SocketAddrV4, NodeRole)>,
-    /// The list is no older than the node's own entry in it.
+    /// Whether the list is at least as new as this node's own entry, so that it names every node
+    /// registered before.
     pub is_complete: bool,
 }
 
-/// What a core has counted and measured.
+/// The metrics of a core.
 #[derive(Clone, Debug)]
 pub struct CoreMetrics {
     /// Counters and gauges.
     pub samples: Vec<Sample>,
-    /// Histograms; the core goes on filling them.
+    /// Histograms, shared with the core, which keeps adding to them.
     pub histograms: Vec<Histogram>,
 }
 
-/// What other tasks need to know of the core.
+/// The part of the core's state that other tasks use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeStatus {
-    /// Callers' packets should come here.
+    /// Whether callers' packets should be sent to this node.
     pub is_ready: bool,
-    /// Nothing that a planned stop would cut is left.
+    /// Whether nothing is left that a planned stop would interrupt.
     pub is_drained: bool,
-    /// What the node stood beside has ended: it does not come back here.
+    /// Whether the back end's process has ended, so that this agent serves no further flow.
     pub backend_ended: bool,
     /// Version of the configuration in force.
     pub configuration: Version,
-    /// The node is to wait at the shared store for newer configurations.
+    /// Whether this node should watch the shared store for newer configurations.
     pub watches_store: bool,
-    /// Path of the health page of the back end, while its health should be asked for.
+    /// Path of the back end's health page, while its health is still unknown to the agent.
     pub health_path: Option<String>,
 }
--- a/crates/node/src/configuration_follower.rs
+++ b/crates/node/src/configuration_follower.rs
@@ -1,8 +1,9 @@
-//! Follows what operators write in the shared store: the configuration and evacuations.
+//! Follows what operators write to the shared store: the configuration and evacuations.
 //!
-//! Reads it at the start. While the core says that this node is one of those that wait at the store,
-//! reads it whole and waits for changes; whatever goes wrong, it reads it whole again. Otherwise, and
-//! while the store is away, the node keeps what it has and hears of newer versions from its peers.
+//! Reads both when the process starts. While the core says that this node is one of those that
+//! watch the store, reads them in full and then watches for changes; after any failure it reads
+//! them in full again. Otherwise, and while the store is unreachable, the node keeps what it has
+//! and receives newer versions from its peers.
 
 use crate::backoff::Backoff;
 use crate::command::{Command, NodeStatus};
@@ -12,51 +13,53 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, watch};
 
-/// How long one wait for a change lasts at most. Short enough that one which a cut swallowed is
-/// noticed before the configuration is late.
+/// Short enough that a watch whose connection was lost silently is noticed before a new
+/// configuration is overdue.
 const MAX_WATCH_DURATION: Duration = Duration::from_secs(10);
-/// Waits differ in length by as much, so that of several nodes one is answered every other second.
+/// Watches last between this fraction and all of [`MAX_WATCH_DURATION`], so that of several nodes
+/// one gets an answer about every two seconds.
 const MIN_WATCH_FRACTION: f64 = 0.4;
-/// Changes that come in quick succession are taken together.
+/// Delay after a change, so that changes in quick succession are read together.
 const CHANGE_BATCH_DELAY: Duration = Duration::from_millis(120);
-/// First pause after a failure, ten times what the store takes to answer.
+/// Ten times the store's usual response time.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(40);
-/// A node without a configuration serves nobody: it tries again within a second.
+/// A node without a configuration serves no caller, so it retries within a second.
 const MAX_BACKOFF: Duration = Duration::from_millis(800);
 
-/// Bits of a configuration of 1,500 routes as the store gives it.
+/// Size of a configuration of 1,500 routes in the store's encoding.
 const LARGE_CONFIGURATION_BITS: f64 = 3e6;
 
-/// The time that reading a large configuration would take on a link: nodes with faster ones have it
-/// by then, and give it in a tenth of the bytes.
+/// How long a node with a link of this bandwidth waits for its peers before it reads the store: the
+/// time that a large configuration takes on the link. Nodes with faster links have read it by then
+/// and send it in a tenth of the bytes.
 pub(crate) fn initial_fetch_delay(link_bits_per_second: f64) -> Duration {
     Duration::from_secs_f64(LARGE_CONFIGURATION_BITS / link_bits_per_second)
 }
 
-/// What is needed to follow the store.
+/// The task that follows the store.
 #[derive(Debug)]
 pub struct ConfigurationFollower<S> {
     /// The store.
     pub store: S,
-    /// What the core says of itself.
+    /// The core's status.
     pub status: watch::Receiver<NodeStatus>,
-    /// The core's commands.
+    /// Commands to the core.
     pub commands: mpsc::Sender<Command>,
-    /// Peers have so long to give a configuration before the store is asked for it at the start.
+    /// How long peers have to send a configuration at the start before it is read from the store.
     pub initial_fetch_delay: Duration,
-    /// Since when the store has not answered.
+    /// When the store stopped answering; `None` while it answers.
     pub unreachable_since: Option<Instant>,
 }
 
 impl<S: SharedStore> ConfigurationFollower<S> {
-    /// Follows until nobody listens.
+    /// Follows the store until the core's task has ended.
     pub async fn run(mut self) {
         self.read_initial().await;
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         while self.status.wait_for(|status| status.watches_store).await.is_ok() {
             match self.watch(&mut backoff).await {
                 Ok(()) => {}
-                // It answers: what was waited for is not there. All is read again.
+                // The store does answer, but the watched revisions are gone: read in full again.
                 Err(StoreFailure::Gone | StoreFailure::Restored) => backoff.wait().await,
                 Err(failure) => {
                     self.note_failure(&failure).await;
@@ -66,9 +69,9 @@
         }
     }
 
-    /// Reads until a configuration is known, from the store or from a peer. What a peer gives is a
-    /// tenth as long: an answer of the store that is still on its way then would only fill this machine's
-    /// link.
+    /// Reads until a configuration is known, from the store or from a peer. A read that is still in
+    /// progress when a peer's snapshot arrives is cancelled: the store's answer is ten times as
+    /// large and would only occupy this machine's link.
     async fn read_initial(&mut self) {
         let mut status = self.status.clone();
         tokio::select! {
@@ -77,9 +80,10 @@
         }
     }
 
-    /// An old configuration is as good at first: nodes that wait at the store tell of a newer one
-    /// within a second. Where none is written yet, it is asked for at a tenth of the price of a newest one:
-    /// 304 balancers that asked for the newest cost the store 1,200 calls in their first second.
+    /// Reads the store until a configuration is known, accepting a stale one: nodes that watch the
+    /// store report a newer version within a second. Stale reads cost the store a tenth of latest
+    /// ones, which matters while no configuration has been written yet: 304 balancers that started
+    /// with latest reads made 1,200 calls in their first second.
     async fn read_until_known(&mut self) {
         tokio::time::sleep(self.initial_fetch_delay).await;
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Reads and waits for as long as this node is to.
+    /// Reads in full, then watches for as long as this node is to watch the store.
     async fn watch(&mut self, backoff: &mut Backoff) -> Result<(), StoreFailure> {
         let mut state = self.store.read_operator_state(Consistency::Latest).await?;
         let mut document_update = state.document();
@@ -116,7 +120,7 @@
             let timeout =
                 MAX_WATCH_DURATION.mul_f64(rand::rng().random_range(MIN_WATCH_FRACTION..1.0));
             let change = self.store.wait_for_change(state.position, timeout).await?;
-            // A change in one history cannot be added to what was read in another.
+            // A change of one era cannot be applied to a state that was read in another.
             if change.position.era != state.position.era {
                 return Ok(());
             }
@@ -125,7 +129,7 @@
     }
 
     async fn adopt_configuration(&self, document: CarriedConfiguration) {
-        // Nobody listens only while the process ends.
+        // Sending fails only while the process ends.
         let _ = self.commands.send(Command::AdoptConfiguration(document)).await;
     }
 
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -1,4 +1,4 @@
-//! What the shell needs of a core, whatever its role.
+//! The interface between the driver and a core, whatever the node's role.
 
 use crate::command::{CoreMetrics, MemberUpdate, NodeStatus};
 use loftdrift_carried::{
@@ -8,22 +8,25 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// A core behind the shell. The local socket is the one to callers or to the back end.
+/// A state machine without I/O that the driver runs. The local socket is the one towards callers
+/// (balancer) or towards the back end (agent).
 pub(crate) trait Core: Send + 'static {
     fn handle_local(&mut self, now: Duration, datagram: &[u8]);
     fn handle_peer(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]);
     fn handle_timeout(&mut self, now: Duration);
     fn next_timeout(&self) -> Option<Duration>;
     fn take_output(&mut self) -> Option<Output>;
-    /// Port at which callers take packets.
+    /// Port at which callers receive packets.
     fn caller_port(&self) -> u16;
-    /// The back end, beside an agent.
+    /// Address of an agent's back end; `None` for a balancer.
     fn backend(&self) -> Option<SocketAddrV4> {
         None
     }
+    /// Applies a configuration if it is newer than the one in force.
     fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration);
     fn learn_members(&mut self, now: Duration, update: &MemberUpdate);
-    /// Compares the shared store's list with who lives; no core but a balancer's asks for it.
+    /// Compares the shared store's member list with the nodes that are alive and returns the
+    /// addresses whose entries are to be removed. Only a balancer's core requests it.
     fn audit(&mut self, _now: Duration, _list: &NodeList) -> Vec<SocketAddrV4> {
         Vec::new()
     }
@@ -33,22 +36,22 @@
     fn status(&self, now: Duration) -> NodeStatus;
     fn start_draining(&mut self, now: Duration);
 
-    /// The process stood still.
+    /// Notifies the core that the process did not run for longer than any peer waits.
     fn resume(&mut self, now: Duration);
-    /// Datagrams of the local socket that come next may have waited for so long.
+    /// Sets how long the datagrams read next from the local socket may have waited there.
     fn note_local_wait(&mut self, _max_wait: Duration) {}
-    /// Whether the shared store has answered.
+    /// Notifies the core whether the shared store has answered.
     fn note_store(&mut self, now: Duration, is_reachable: bool);
-    /// A back end's heartbeat; no core but an agent's is sent any.
+    /// Applies a heartbeat of the back end. Only agents receive heartbeats.
     fn handle_report(&mut self, _now: Duration, _report: &BackendReport) -> ReportOutcome {
         ReportOutcome::Foreign
     }
-    /// A back end's word that could not be read.
+    /// Counts a request of the back end that could not be parsed.
     fn note_unreadable_report(&mut self) {}
-    /// A back end's departure.
+    /// Handles the back end's departure notice.
     fn handle_departure(&mut self, _now: Duration, _departed: &Incarnation) {}
-    /// A back end's health.
+    /// Handles an answer of the back end's health page.
     fn handle_health(&mut self, _now: Duration, _is_healthy: bool) {}
-    /// What became of an attempt to connect to the back end.
+    /// Handles the result of an attempt to connect to the back end.
     fn handle_probe(&mut self, _now: Duration, _outcome: ProbeOutcome) {}
 }
--- a/crates/node/src/counted_store.rs
+++ b/crates/node/src/counted_store.rs
@@ -1,4 +1,4 @@
-//! Counts what calls to the shared store are for and come to, and how long they take.
+//! Counts calls to the shared store by purpose and outcome, and measures their duration.
 
 use crate::shared_store::{
     Consistency, Member, MemberList, OperatorChange, OperatorState, SharedStore, StoreFailure,
@@ -16,28 +16,28 @@
         calls_answered,
         /// Calls without an answer; they may have taken effect.
         calls_unanswered,
-        /// Calls refused because there were too many.
+        /// Calls refused by the store's rate limit.
         calls_throttled,
-        /// Calls refused for now.
+        /// Calls refused because the store was temporarily unavailable.
         calls_refused,
-        /// Calls for something that is gone: an entry, a history.
+        /// Calls for an entry that no longer exists, or for revisions that the store no longer has.
         calls_gone,
-        /// Readings during which the store came back from an older copy.
+        /// Reads during which the store was restored from an older copy.
         calls_restored,
-        /// Calls whose answer could not be read.
+        /// Calls whose answer could not be parsed.
         calls_unreadable,
-        /// Readings of what operators have written.
+        /// Reads of the configuration and the evacuations.
         calls_for_operators,
-        /// Waits for a change of that.
+        /// Watches for a change of the configuration or the evacuations.
         calls_for_changes,
-        /// Readings, writings and removals of nodes' entries.
+        /// Reads, writes and removals of single nodes' entries.
         calls_for_entries,
-        /// Readings of the lists of nodes.
+        /// Reads of the member lists.
         calls_for_lists,
     }
 }
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
     Operators,
@@ -69,24 +69,24 @@
     }
 }
 
-/// What was counted of all calls of one process. Clones share it.
+/// Metrics of all store calls of one process. Clones share the same counters.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreMeter {
     counters: Arc<Mutex<StoreCounters>>,
-    /// Calls that wait for a change are not among them.
+    /// Excludes calls that watch for a change.
     call_duration: Histogram,
 }
 
 impl StoreMeter {
     fn new() -> Self {
         let call_duration =
-            Histogram::seconds("call_seconds", "Time of a call that waits for no change.");
+            Histogram::seconds("call_seconds", "Duration of calls, except watches for a change.");
         StoreMeter { counters: Arc::default(), call_duration }
     }
 
-    /// The metrics of the store.
+    /// The metrics to publish.
     pub(crate) fn publish(&self) -> PublishedSet {
-        // Counts are good enough after a panic elsewhere.
+        // Counters stay usable after another thread has panicked with the lock held.
         let counters = *self.counters.lock().unwrap_or_else(PoisonError::into_inner);
         let histograms = vec![self.call_duration.clone()];
         PublishedSet { role: "store", samples: counters.samples(), histograms }
@@ -99,7 +99,7 @@
     }
 }
 
-/// A store with its calls counted.
+/// Wraps a store and counts its calls.
 #[derive(Clone, Debug)]
 pub(crate) struct CountedStore<S> {
     store: S,
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,4 +1,4 @@
-//! The task that owns a core and its two UDP sockets.
+//! The driver: the task that owns a core and its two UDP sockets.
 
 use crate::command::{Command, NodeStatus};
 use crate::core::Core;
@@ -10,21 +10,22 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// Larger than any datagram that a core takes.
+/// Larger than any datagram that a core accepts.
 const RECEIVE_BUFFER_BYTES: usize = 4 * 1024;
-/// Datagrams taken from one socket before the other one has its turn.
+/// Datagrams read from one socket before the other one is read.
 const DATAGRAMS_PER_BATCH: usize = 32;
-/// Turns of the nodes' socket before timers are served all the same: a flood holds up no timer for
-/// longer than 512 datagrams take.
+/// Batches read from the peer socket before timers are handled in any case, so that a flood delays
+/// no timer for longer than 512 datagrams take.
 const MAX_PEER_BATCHES: usize = 16;
-/// Longest time between two looks at the core's status.
+/// Maximum time between two checks of the core's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(100);
-/// A process that has not had its turn for so long stood still.
+/// A loop that has not run for this long counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
-/// A process that wakes so long after it wanted to did not run: what it reads may have come before.
+/// A loop that wakes this long after its timer was not scheduled, so datagrams that it reads may
+/// have waited in the sockets.
 const LATE_WAKE_THRESHOLD: Duration = Duration::from_millis(10);
 
-/// What a turn begins with.
+/// What woke the loop.
 enum Wakeup {
     Local,
     Peers,
@@ -32,13 +33,13 @@
     Other,
 }
 
-/// The shell of one core.
+/// Runs one core: reads sockets, handles commands and timers, and executes the core's outputs.
 pub(crate) struct Driver<C> {
     pub(crate) core: C,
     pub(crate) started: Instant,
-    /// To callers, or to the back end.
+    /// Socket towards callers (balancer) or the back end (agent).
     pub(crate) local: UdpSocket,
-    /// To other nodes.
+    /// Socket towards other nodes.
     pub(crate) peers: UdpSocket,
     pub(crate) commands: mpsc::Receiver<Command>,
     pub(crate) status: watch::Sender<NodeStatus>,
@@ -47,12 +48,12 @@
     pub(crate) probes: mpsc::Sender<SocketAddrV4>,
     pub(crate) audits: mpsc::Sender<Consistency>,
     pub(crate) entry_rewrites: mpsc::Sender<()>,
-    /// For how long what is read from the local socket may have waited there.
+    /// Bounds how long datagrams read from the local socket may have waited there.
     pub(crate) local_input_age: InputAge,
 }
 
 impl<C: Core> Driver<C> {
-    /// Runs until the task is dropped or nobody can send commands.
+    /// Runs until the task is aborted or all command senders are dropped.
     pub(crate) async fn run(mut self) {
         let mut buffer = vec![0; RECEIVE_BUFFER_BYTES];
         let mut last_run = self.now();
@@ -67,13 +68,14 @@
                     None => return,
                 },
             };
-            // Before anything that waited meanwhile is taken.
+            // Notify the core before it handles any input that waited during the stall.
             if self.now().saturating_sub(last_run) > STALL_THRESHOLD {
                 self.core.resume(self.now());
             }
             if wake_at.elapsed() > LATE_WAKE_THRESHOLD {
                 self.local_input_age.note_pause(last_run);
-                // Whatever woke it: what comes after this reading has not waited.
+                // Read the local socket whatever woke the loop: datagrams that arrive after this
+                // read have not waited.
                 self.handle_wakeup(Wakeup::Local, &mut buffer);
             }
             last_run = self.now();
@@ -92,7 +94,7 @@
     fn handle_wakeup(&mut self, wakeup: Wakeup, buffer: &mut [u8]) {
         match wakeup {
             Wakeup::Local => {
-                // What nodes have said about a flow counts before the flow's next packet.
+                // Messages from nodes about a flow are handled before the flow's next packet.
                 self.receive_peers(buffer);
                 self.receive_local(buffer);
             }
@@ -131,7 +133,7 @@
         self.core.next_timeout().is_some_and(|next| next <= now)
     }
 
-    /// Takes some of what nodes have said; `true` when there may be more.
+    /// Reads one batch from the peer socket; returns whether there may be more.
     fn receive_peers(&mut self, buffer: &mut [u8]) -> bool {
         for _ in 0..DATAGRAMS_PER_BATCH {
             let Ok((length, SocketAddr::V4(from))) = self.peers.try_recv_from(buffer) else {
@@ -143,8 +145,8 @@
         true
     }
 
-    /// Takes what nodes have said, before anybody is held to be silent: an answer that waits in the
-    /// socket is not late, this process is.
+    /// Reads the peer socket before timers can declare a peer silent: an answer that waits in the
+    /// socket has arrived in time, it is this process that is late.
     fn drain_peers(&mut self, buffer: &mut [u8]) {
         for _ in 0..MAX_PEER_BATCHES {
             if !self.receive_peers(buffer) {
@@ -164,7 +166,7 @@
             Command::ProbeFinished(outcome) => self.core.handle_probe(now, outcome),
             Command::StoreReachable(is_reachable) => self.core.note_store(now, is_reachable),
             Command::Drain => self.core.start_draining(now),
-            // Whoever asked and did not wait needs no answer.
+            // A requester that stopped waiting needs no reply.
             Command::GetSnapshot(reply) => drop(reply.send(self.core.snapshot())),
             Command::GetMetrics(reply) => drop(reply.send(self.core.metrics(now))),
             Command::BackendReport(report, reply) => {
@@ -178,8 +180,8 @@
         }
     }
 
-    /// Carries out what the core asks for. A datagram that the kernel does not take is lost, as on
-    /// any network.
+    /// Executes the core's outputs. A datagram that the kernel does not accept is lost, as on any
+    /// network.
     fn execute_outputs(&mut self) {
         while let Some(output) = self.core.take_output() {
             match output {
@@ -195,22 +197,22 @@
                 Output::ToPeer { to, message } => {
                     let _ = self.peers.try_send_to(&message.encode(), to.into());
                 }
-                // One reading serves all who ask meanwhile.
+                // A read that is already queued serves this request too.
                 Output::ReadStore => drop(self.store_reads.try_send(())),
-                // One audit serves all who ask meanwhile.
+                // An audit that is already queued serves this request too.
                 Output::ReadMembers { is_urgent } => {
                     let currency =
                         if is_urgent { Consistency::Latest } else { Consistency::MayBeStale };
                     let _ = self.audits.try_send(currency);
                 }
-                // One entry serves all auditors.
+                // A rewrite that is already queued serves this auditor too.
                 Output::WriteEntry => drop(self.entry_rewrites.try_send(())),
-                // One that finds no place is asked for again.
+                // If the queue is full, the core requests the probe again.
                 Output::ProbeBackend => {
                     let backend = self.core.backend();
                     backend.map(|backend| self.probes.try_send(backend));
                 }
-                // One that is not fetched now is named again by the next heartbeat.
+                // If the queue is full, the next heartbeat triggers the fetch again.
                 Output::FetchSnapshot { from } => drop(self.snapshot_fetches.try_send(from)),
             }
         }
--- a/crates/node/src/health.rs
+++ b/crates/node/src/health.rs
@@ -1,5 +1,5 @@
-//! Asks the back end for its health once at the start, so that an agent whose process was replaced
-//! need not wait for the next heartbeat.
+//! Requests the back end's health page when the agent starts, so that an agent whose process was
+//! replaced does not have to wait for the next heartbeat.
 
 use crate::command::{Command, NodeStatus};
 use hyper::Method;
@@ -8,13 +8,14 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Longest wait for an answer; a back end that is down refuses or says nothing.
+/// A back end that is down refuses the connection or does not answer.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(300);
-/// Most questions; each takes a slot of the back end.
+/// Attempts are limited because each request takes one of the back end's slots.
 const MAX_ATTEMPTS: u32 = 3;
 const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Asks as soon as the path is known, unless the back end has spoken by then.
+/// Requests the health page as soon as the configuration gives its path, unless the back end has
+/// sent a heartbeat by then.
 pub(crate) async fn check(
     backend: SocketAddrV4,
     mut status: watch::Receiver<NodeStatus>,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,9 +1,10 @@
-//! Thin shells around the cores of carried flows: sockets, timers, signals, the shared store.
+//! Runs the I/O-free cores of `loftdrift_carried` as processes: sockets, timers, signals and the
+//! shared store.
 //!
-//! One task owns the core with its two UDP sockets; the others speak with it by [`Command`]s and
-//! read its [`NodeStatus`]. What outside systems speak is told by three traits that an adapter
-//! implements: [`SegmentFormat`](loftdrift_carried::SegmentFormat), [`RequestDecoder`] and
-//! [`SharedStore`].
+//! One task, the driver, owns the core and its two UDP sockets. Other tasks send it [`Command`]s
+//! and read the [`NodeStatus`] that it publishes. The formats and protocols of outside systems are
+//! behind three traits that an adapter implements:
+//! [`SegmentFormat`](loftdrift_carried::SegmentFormat), [`RequestDecoder`] and [`SharedStore`].
 
 mod agent_core;
 mod backoff;
--- a/crates/node/src/member_audit.rs
+++ b/crates/node/src/member_audit.rs
@@ -1,12 +1,13 @@
-//! Compares the shared store's list with who lives, whenever the core asks for it: the balancers that wait
-//! at the store do, about once a minute and at its return.
+//! Compares the shared store's member list with the nodes that are alive, whenever the core
+//! requests it. The balancers that watch the store do so about once a minute and when the store
+//! answers again after an outage.
 
 use crate::command::Command;
 use crate::shared_store::{Consistency, MemberEntry, SharedStore, StoreFailure};
 use loftdrift_carried::{ListedNode, NodeList, NodeRole};
 use tokio::sync::{mpsc, oneshot};
 
-/// Audits until nobody asks any more.
+/// Runs the requested audits until the request channel is closed.
 pub async fn run(
     store: impl SharedStore,
     mut requests: mpsc::Receiver<Consistency>,
@@ -14,7 +15,7 @@
 ) {
     while let Some(consistency) = requests.recv().await {
         let mut outcome = audit_once(&store, consistency, &commands).await;
-        // What was compared, or removed, may have been another history's.
+        // The compared list, or a removal's condition, may belong to another era of the store.
         if outcome == Err(StoreFailure::Restored) {
             outcome = audit_once(&store, Consistency::Latest, &commands).await;
         }
@@ -43,7 +44,7 @@
         .map(|entry| ListedNode { address: entry.member.address, role: entry.member.role });
     let list = NodeList { nodes: listed.collect(), is_newest: consistency == Consistency::Latest };
     let (reply, dead) = oneshot::channel();
-    // Nobody listens only while the process ends.
+    // Sending fails only while the process ends.
     let _ = commands.send(Command::AuditMembers(list, reply)).await;
     let Ok(dead) = dead.await else { return Ok(()) };
     for entry in entries.iter().filter(|entry| dead.contains(&entry.member.address)) {
@@ -52,9 +53,11 @@
     Ok(())
 }
 
-/// Removes an entry that was read in an era, unless its node has written it again. A store that has come
-/// back since may have given its revision to a later writing of the same key: what was removed then is
-/// missed by the audit that follows, and written again by its node.
+/// Removes an entry that was read in `era`, unless its node has written it again since.
+///
+/// A store that was restored in between may have reused the entry's revision for a later write of
+/// the same key. An entry removed by that mistake is found missing by the following audit, and its
+/// node writes it again.
 async fn remove(
     store: &impl SharedStore,
     entry: &MemberEntry,
@@ -64,7 +67,7 @@
     log::info!(name = member.name.as_str(), address:% = member.address; "member_entry_removed");
     match store.remove_member(member, Some(*revision)).await {
         Ok(position) if position.era != era => Err(StoreFailure::Restored),
-        // It was written again, or is gone.
+        // With `Gone`, the entry was written again or no longer exists.
         Ok(_) | Err(StoreFailure::Gone) => Ok(()),
         Err(failure) => Err(failure),
     }
--- a/crates/node/src/member_list.rs
+++ b/crates/node/src/member_list.rs
@@ -1,7 +1,7 @@
-//! Learns the other nodes from the shared store's list.
+//! Learns the other nodes from the shared store's member list.
 //!
-//! A list counts as whole only when it is no older than the own entry: of two nodes that start together at
-//! least one then learns of the other, and tells it.
+//! A list counts as complete only if it is at least as new as this node's own entry. Of two nodes
+//! that start at the same time, at least one then learns of the other and contacts it.
 
 use crate::backoff::Backoff;
 use crate::command::{Command, MemberUpdate};
@@ -10,81 +10,79 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Pauses between readings of lists that may be old, until they have the own entry: such lists are
-/// two to three seconds old.
+/// Delays before a possibly stale list is read again because it does not include this node's entry
+/// yet. Stale lists are two to three seconds old.
 const STALE_LIST_RETRY_DELAYS: [Duration; 2] =
     [Duration::from_millis(1_500), Duration::from_millis(3_500)];
-/// First pause after a failure, a few times what the store takes to answer.
+/// A few times the store's usual response time.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How a node came to stand in the list.
+/// How this node's entry got into the member list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Origin {
-    /// An earlier process has left the entry.
-    Existing,
-    /// Written there for the first time.
+    /// An earlier process of this node wrote the entry.
+    Found,
+    /// This process wrote the entry, at this position.
     Written(Position),
-    /// Written there again, the store having lost it: an old list may show the one before.
+    /// This process wrote the entry again because the store had lost it. A stale list may still
+    /// show the earlier entry.
     Rewritten(Position),
 }
 
 impl Origin {
-    /// The same entry, written once more.
+    /// The origin of an entry that this write replaces.
     pub(crate) fn rewritten(self) -> Self {
         match self {
-            Origin::Existing => Origin::Existing,
+            Origin::Found => Origin::Found,
             Origin::Written(position) | Origin::Rewritten(position) => Origin::Rewritten(position),
         }
     }
 
-    /// The era of the store in which this process has written the entry.
+    /// The era of the store in which this process wrote the entry.
     pub(crate) fn era(self) -> Option<u64> {
         match self {
-            Origin::Existing => None,
+            Origin::Found => None,
             Origin::Written(position) | Origin::Rewritten(position) => Some(position.era),
         }
     }
 }
 
-/// Reads the lists of those that a node speaks with.
+/// Reads the member lists of the roles with which this node exchanges messages.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberListReader<S> {
     pub(crate) store: S,
     pub(crate) member: Member,
     pub(crate) commands: mpsc::Sender<Command>,
-    /// No process of the system has run before: there is no flow.
+    /// The system is started for the first time, so that no flow exists yet.
     pub(crate) is_first_start: bool,
 }
 
 impl<S: SharedStore> MemberListReader<S> {
-    /// Reads lists until they name every node that was entered before this one, however often that
-    /// takes.
+    /// Reads the lists, with retries, until they name every node that registered before this one.
     pub(crate) async fn read_until_complete(&self, origin: Origin) {
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
-        // The store's failures are told by whoever waits there, and counted.
+        // Failures are counted by `CountedStore` and logged by the tasks that watch or write.
         while self.read_complete(origin).await.is_err() && !self.commands.is_closed() {
             backoff.wait().await;
         }
     }
 
-    /// Reads lists as they are, old or not.
+    /// Reads the lists once, accepting stale ones.
     pub(crate) async fn read_any(&self) -> Result<(), StoreFailure> {
         self.read(Consistency::MayBeStale, None).await.map(drop)
     }
 
     async fn read_complete(&self, origin: Origin) -> Result<(), StoreFailure> {
         let written_at = match origin {
-            // An agent decides nothing by who it does not know.
-            Origin::Existing if self.member.role == NodeRole::Agent => {
-                return self.read_any().await;
-            }
+            // No decision of an agent depends on knowing every balancer.
+            Origin::Found if self.member.role == NodeRole::Agent => return self.read_any().await,
             Origin::Rewritten(_) => return self.read(Consistency::Latest, None).await.map(drop),
-            Origin::Existing => None,
+            Origin::Found => None,
             Origin::Written(position) => Some(position),
         };
-        // Until a balancer has the whole list it tells no caller that nobody holds a flow: only
-        // where there are no flows of before may that take seconds.
+        // Until a balancer has the complete list, it never reports to a caller that no agent owns
+        // its flow. That may take seconds only where no earlier flows can exist.
         let may_retry_stale = self.is_first_start || self.member.role == NodeRole::Agent;
         let mut is_complete = self.read(Consistency::MayBeStale, written_at).await?;
         let retry_delays: &[Duration] =
@@ -102,14 +100,14 @@
         Ok(())
     }
 
-    /// Reads the lists; `true` when they are whole.
+    /// Reads the lists; returns whether they are complete.
     async fn read(
         &self,
         consistency: Consistency,
         written_at: Option<Position>,
     ) -> Result<bool, StoreFailure> {
         let mut lists = vec![self.store.read_members(NodeRole::Balancer, consistency).await?];
-        // Agents have nothing to say to each other.
+        // Agents do not exchange messages with each other.
         if self.member.role == NodeRole::Balancer {
             lists.push(self.store.read_members(NodeRole::Agent, consistency).await?);
         }
@@ -118,15 +116,15 @@
         let is_complete = consistency == Consistency::Latest || includes_own;
         let entries = lists.iter().flat_map(|list| &list.entries);
         let members = entries.map(|entry| (entry.member.address, entry.member.role)).collect();
-        // Nobody listens only while the process ends.
+        // Sending fails only while the process ends.
         let _ =
             self.commands.send(Command::LearnMembers(MemberUpdate { members, is_complete })).await;
         Ok(is_complete)
     }
 }
 
-/// Whether a list that may be old names all that were entered up to a place. Where the store has come back
-/// before, it may be from before the return: its revisions are other writings' then.
+/// Whether a possibly stale list includes every entry written up to `position`. After a restore of
+/// the store, a stale list may still be from before it, where revisions stand for other writes.
 fn includes_all_until(list: &MemberList, position: Position) -> bool {
     !position.follows_a_return() && list.position >= position
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The page of metrics: what the core, the store's client and the log have counted.
+//! Serves the metrics of the core, the store client and the logger over HTTP.
 
 use crate::command::{Command, CoreMetrics};
 use crate::counted_store::StoreMeter;
@@ -12,23 +12,23 @@
 const METRICS_PATH: &str = "/metrics";
 
 counter_set! {
-    /// What the log has counted.
+    /// Counters of the logger.
     pub struct LogCounters {
         /// Lines dropped because standard output was too slow or closed.
         lines_dropped,
     }
 }
 
-/// What a page shows besides the core's own.
+/// Serves the metrics page.
 pub(crate) struct Metrics {
-    /// The core's part of each name.
+    /// Role that is part of the name of each of the core's metrics.
     pub(crate) role: &'static str,
     pub(crate) commands: mpsc::Sender<Command>,
     pub(crate) store: StoreMeter,
 }
 
 impl Metrics {
-    /// Serves the page; a node without one is better than none, so an address that is taken is told.
+    /// Serves the page. If the address is taken, the node logs a warning and runs without metrics.
     pub(crate) async fn serve(self, address: SocketAddrV4) {
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
--- a/crates/node/src/operator_document.rs
+++ b/crates/node/src/operator_document.rs
@@ -1,11 +1,11 @@
-//! The operators' document, put together from readings of the shared store and changes there.
+//! Builds the operators' document (configuration and evacuated zones) from reads of the shared
+//! store and from the changes that a watch returns.
 
 use crate::shared_store::{OperatorChange, OperatorState};
 use loftdrift_carried::{CarriedConfiguration, Version};
 
 impl OperatorState {
-    /// The document that this reading gives, with the position that it holds for; `None` before the
-    /// first configuration is written.
+    /// The document as of this state's position; `None` if no configuration has been written yet.
     pub(crate) fn document(&self) -> Option<CarriedConfiguration> {
         let configuration = self.configuration.clone()?;
         let evacuated = self.evacuated.clone();
@@ -13,7 +13,7 @@
         Some(CarriedConfiguration { version, evacuated, ..configuration })
     }
 
-    /// Takes what a wait brought; the document, if it has changed.
+    /// Applies the result of a watch; returns the document if it has changed.
     pub(crate) fn apply(&mut self, change: OperatorChange) -> Option<CarriedConfiguration> {
         self.configuration = change.configuration.or(self.configuration.take());
         for (zone, is_evacuated) in change.evacuations {
@@ -24,7 +24,8 @@
         }
         self.position = change.position;
         let mut document = self.document()?;
-        // Whoever waits gives a change the same version.
+        // The revision of the change, not the position of the answer: so all watching nodes give
+        // the changed document the same version.
         document.version.position.revision = change.changed_at?;
         Some(document)
     }
--- a/crates/node/src/probe.rs
+++ b/crates/node/src/probe.rs
@@ -1,4 +1,4 @@
-//! Finds out whether anybody listens at the back end's port.
+//! Probes whether a process listens on the back end's TCP port.
 
 use crate::command::Command;
 use loftdrift_carried::ProbeOutcome;
@@ -8,10 +8,11 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// A port on the same machine refuses at once; one that says nothing may be behind a full queue.
+/// A closed port on the same machine refuses at once. One that does not answer may have a full
+/// accept queue.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// Tries to connect whenever the core asks for it.
+/// Tries to connect whenever the core requests it.
 pub(crate) async fn run(
     mut requests: mpsc::Receiver<SocketAddrV4>,
     commands: mpsc::Sender<Command>,
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -1,9 +1,10 @@
-//! Keeps the node's entry in the shared store's list.
+//! Keeps this node's entry in the shared store's member list.
 //!
-//! An entry stands until its node takes it away or auditors do (`member_audit`); nothing is renewed, so
-//! that calls do not grow with nodes and hours. A store that comes back from an older copy has lost the
-//! entries that were written last: their nodes write them again when they hear of its new era, all others
-//! when an auditor misses them, and all are back two seconds after its return.
+//! An entry stays until its node or an auditor (`member_audit`) removes it. Entries are not
+//! renewed, so the number of calls does not grow with the nodes and the time they run. A store that
+//! is restored from an older copy has lost the latest entries. Nodes that registered recently write
+//! theirs again when they learn of the new era, all others when an auditor finds the entry missing;
+//! all entries are back two seconds after the restore.
 
 use crate::backoff::Backoff;
 use crate::command::NodeStatus;
@@ -14,38 +15,40 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// First pause after a failure, a few times what the store takes to answer.
+/// A few times the store's usual response time.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
-/// Entries that could not be written are there two seconds after the store's return.
+/// Entries that could not be written are in the list two seconds after the store answers again.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Nodes whose entries are missing write them within this time, not all at once. With what it takes to
-/// notice the return and to compare the list, an entry is back within two seconds.
+/// Nodes whose entries are missing write them at random times within this delay, not all at once.
+/// Together with the time to notice the restore and to audit the list, an entry is back within two
+/// seconds.
 const MAX_REWRITE_DELAY: Duration = Duration::from_millis(600);
-/// A copy is some seconds old: it holds entries that are older than this. Were one gone all the same, the
-/// next audit would miss it.
+/// The copy that a store is restored from is some seconds old, so it has the entries that are older
+/// than this. If one is lost nevertheless, the next audit finds it missing.
 const RECENT_ENTRY_AGE: Duration = Duration::from_secs(60);
-/// A node that leaves for good waits so long for the store to take its entry away.
+/// How long a node that stops for good waits for the store to remove its entry.
 const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A node's entry and what is needed to keep it.
+/// The task that keeps this node's entry in the list.
 pub(crate) struct Registration<S> {
     pub(crate) lists: MemberListReader<S>,
-    /// An auditor has not found the entry.
+    /// Receives a message when an auditor has found the entry missing.
     pub(crate) entry_missing: mpsc::Receiver<()>,
-    /// Tells the era that the node knows of.
+    /// The core's status, with the store's era that the node knows of.
     pub(crate) status: watch::Receiver<NodeStatus>,
 }
 
 /// Why the entry is written again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RewriteCause {
-    /// An auditor has not found it.
+    /// An auditor found it missing.
     EntryMissing,
-    /// The store has come back from a copy that may be older.
+    /// The store was restored from a copy that may be older than the entry.
     StoreRestored,
 }
 
 impl RewriteCause {
+    /// The cause as it appears in the log.
     fn name(self) -> &'static str {
         match self {
             RewriteCause::EntryMissing => "missed",
@@ -55,9 +58,9 @@
 }
 
 impl<S: SharedStore> Registration<S> {
-    /// Keeps the entry until nobody listens.
+    /// Keeps the entry until the core's task has ended.
     pub(crate) async fn run(mut self) {
-        // No process of the system has run before a first start: there is no entry of an earlier one.
+        // On the system's first start there is no entry of an earlier process.
         let mut origin = self.register_with_retries(!self.lists.is_first_start).await;
         loop {
             let lists = self.lists.clone();
@@ -65,7 +68,7 @@
                 lists.read_until_complete(origin).await;
                 std::future::pending().await
             };
-            // Readings take seconds: an entry that is lost meanwhile does not wait for them.
+            // Reading the lists can take seconds; a lost entry is written again without waiting.
             let cause = tokio::select! {
                 cause = self.entry_lost(origin) => cause,
                 () = read => None,
@@ -78,7 +81,7 @@
         }
     }
 
-    /// Waits until the entry may be gone; `None` while the process ends.
+    /// Waits until the entry may be lost; `None` while the process ends.
     async fn entry_lost(&mut self, origin: Origin) -> Option<RewriteCause> {
         let registered_at = Instant::now();
         let mut status = self.status.clone();
@@ -95,18 +98,19 @@
         }
     }
 
-    /// Enters the node, however often that takes.
+    /// Registers the node, with retries until it succeeds. With `may_exist`, an equal entry of an
+    /// earlier process is kept.
     async fn register_with_retries(&mut self, may_exist: bool) -> Origin {
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut has_failed = false;
         loop {
             match self.register(may_exist).await {
                 Ok(origin) => {
-                    // Several auditors have told of the time without the entry.
+                    // Several auditors may have reported the entry missing before it was written.
                     while self.entry_missing.try_recv().is_ok() {}
                     return origin;
                 }
-                // Told once for as long as it lasts; the counters tell the rest.
+                // Logged once per registration; the counters show the further failures.
                 Err(failure) if !std::mem::replace(&mut has_failed, true) => {
                     let failure = failure.to_string();
                     log::warn!(failure = failure.as_str(); "registration_failed");
@@ -119,11 +123,11 @@
 
     async fn register(&self, may_exist: bool) -> Result<Origin, StoreFailure> {
         if may_exist && self.entry_exists().await? {
-            return Ok(Origin::Existing);
+            return Ok(Origin::Found);
         }
         match self.lists.store.write_member(&self.lists.member).await {
             Ok(position) => Ok(Origin::Written(position)),
-            // The list is read even where the entry cannot be written: nodes that start need it most.
+            // Read the lists even if the entry cannot be written: starting nodes need them most.
             Err(failure) => {
                 self.lists.read_any().await?;
                 Err(failure)
@@ -131,7 +135,7 @@
         }
     }
 
-    /// Whether the entry that an earlier process of this node has left still stands.
+    /// Whether the list still has an equal entry that an earlier process of this node wrote.
     async fn entry_exists(&self) -> Result<bool, StoreFailure> {
         let member = &self.lists.member;
         match self.lists.store.read_member(member, Consistency::MayBeStale).await {
@@ -142,9 +146,10 @@
     }
 }
 
-/// Takes the entry of a node away that leaves for good: whoever starts later need not wait for it.
+/// Removes the entry of a node that stops for good, so that nodes which start later do not wait
+/// for it.
 pub(crate) async fn deregister(store: impl SharedStore, member: &Member) {
-    // Left to the auditors where the store does not answer.
+    // If the store does not answer, the auditors remove the entry later.
     let removed = tokio::time::timeout(DEREGISTER_TIMEOUT, store.remove_member(member, None)).await;
     if !matches!(removed, Ok(Ok(_))) {
         log::warn!("registration_left_to_auditors");
--- a/crates/node/src/request_decoder.rs
+++ b/crates/node/src/request_decoder.rs
@@ -1,8 +1,8 @@
-//! What a node is asked over HTTP, apart from how it is written.
+//! The HTTP requests that a node serves, independent of their encoding.
 
 use loftdrift_carried::{BackendReport, Incarnation};
 
-/// A request, as it was received.
+/// An HTTP request as received.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     /// The method.
@@ -13,23 +13,24 @@
     pub body: &'a [u8],
 }
 
-/// What a request means.
+/// A decoded request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RequestKind {
-    /// Should callers' packets come here?
+    /// Readiness probe: should callers' packets be sent to this node?
     Readiness,
     /// A back end's heartbeat.
     Report(BackendReport),
-    /// A back end leaves or is gone.
+    /// A back end is leaving or has ended.
     Departure(Incarnation),
-    /// Of a known kind, but its content cannot be read, for this reason.
+    /// A request of a known kind whose content cannot be parsed, with the reason.
     Malformed(String),
-    /// None of these.
+    /// Any other request.
     Unknown,
 }
 
-/// How requests are written. An implementation translates and decides nothing.
+/// Decodes the requests of one HTTP interface. An implementation only translates; it makes no
+/// decisions.
 pub trait RequestDecoder: Clone + Send + Sync + 'static {
-    /// Reads a request.
+    /// Decodes a request.
     fn decode(&self, request: Request<'_>) -> RequestKind;
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -1,4 +1,4 @@
-//! Wires a node: sockets, core, and the tasks around it.
+//! Starts a node: its sockets, its core and the tasks around it.
 
 use crate::agent_core::AgentCore;
 use crate::balancer_core::BalancerCore;
@@ -43,9 +43,9 @@
 const BITS_PER_MEGABIT: f64 = 1e6;
 /// Largest body of a request, in bytes.
 const MAX_BODY_BYTES: usize = 16 * 1024;
-/// A node whose command queue is not served for so long refuses the request.
+/// A request that the core has not handled in this time is refused.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(800);
-/// Asked of the kernel, which may give less.
+/// Requested from the kernel, which may grant less.
 const SOCKET_BUFFER_BYTES: usize = 1024 * 1024;
 
 /// Runs a node until it is asked to stop.
@@ -66,7 +66,7 @@
     }
 }
 
-/// Ends a task that nobody waits for.
+/// Aborts a task when dropped.
 struct AbortOnDrop(tokio::task::JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -135,15 +135,15 @@
     node.run(settings, decoder, store, Some(role.control)).await
 }
 
-/// A node whose core runs, with what its other tasks need.
+/// The running tasks of a node, with the channels that further tasks need.
 struct NodeTasks {
     commands: mpsc::Sender<Command>,
     status: watch::Receiver<NodeStatus>,
-    /// The core asks for a reading of the store.
+    /// The core's requests to read the store.
     store_reads: mpsc::Receiver<()>,
-    /// The core asks for an audit of the list of nodes.
+    /// The core's requests to audit the member list.
     audits: mpsc::Receiver<Consistency>,
-    /// The core has heard that the node's entry is missing.
+    /// The core's notices that an auditor found this node's entry missing.
     entry_missing: mpsc::Receiver<()>,
     tasks: JoinSet<()>,
 }
@@ -282,7 +282,7 @@
         }
         RequestKind::Malformed(reason) => {
             log::warn!(reason = reason.as_str(), path = head.uri.path(); "request_malformed");
-            // Only counted: where the queue is full the answer does not wait for it.
+            // Only counted, so the answer does not wait if the command queue is full.
             let _ = commands.try_send(Command::UnreadableReport);
             text_answer(StatusCode::BAD_REQUEST, reason)
         }
@@ -290,7 +290,7 @@
     }
 }
 
-/// Has the core take something; `None` when it has not done so in time.
+/// Sends the core a command and waits for its reply; `None` if it does not reply in time.
 async fn call<T>(
     commands: &mpsc::Sender<Command>,
     command: impl FnOnce(oneshot::Sender<T>) -> Command,
@@ -303,7 +303,7 @@
     tokio::time::timeout(COMMAND_TIMEOUT, exchange).await.ok().flatten()
 }
 
-/// Answers a back end whose word the core has taken, or has not taken in time.
+/// The HTTP answer to a back end: success if the core has handled the request in time.
 fn acknowledge(reply: Option<()>) -> Answer {
     if reply.is_none() {
         return text_answer(StatusCode::SERVICE_UNAVAILABLE, "");
@@ -317,11 +317,13 @@
 async fn bind_udp(what: &str, address: SocketAddrV4) -> Result<UdpSocket> {
     let socket = UdpSocket::bind(address)
         .await
-        .with_context(|| format!("cannot take {what} on UDP {address}"))?;
+        .with_context(|| format!("cannot listen for {what} on UDP {address}"))?;
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER_BYTES);
     Ok(socket)
 }
 
 async fn bind_tcp(what: &str, address: SocketAddrV4) -> Result<TcpListener> {
-    TcpListener::bind(address).await.with_context(|| format!("cannot take {what} on TCP {address}"))
+    TcpListener::bind(address)
+        .await
+        .with_context(|| format!("cannot listen for {what} on TCP {address}"))
 }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! How a node is set up.
+//! A node's settings file.
 
 use loftdrift_carried::{Node, NodeRole, Policies, Policy};
 use loftdrift_findings::{Collector, Findings};
@@ -11,19 +11,19 @@
 const ROLE_AGENT: &str = "carried-agent";
 const DEFAULT_STOP_GRACE_SECONDS: f64 = 6.0;
 const DEFAULT_LONGEST_FLOW_SECONDS: f64 = 60.0;
-/// No more than the configuration tells.
+/// A cold back end receives new flows at the rate that the configuration gives.
 const DEFAULT_COLD_OVERSHOOT: f64 = 1.0;
-/// Below this a back end is given less than it bears, above the limit means nothing.
+/// Lower values give a back end less than it can handle; above the maximum the limit has no effect.
 const MIN_COLD_OVERSHOOT: f64 = 0.1;
 const MAX_COLD_OVERSHOOT: f64 = 100.0;
 /// The usual link of a small machine.
 const DEFAULT_LINK_MBPS: f64 = 1_000.0;
-/// Below this no service is carried; above the limit means a wrong unit.
+/// A slower link cannot carry a service; more than the maximum indicates a wrong unit.
 const MIN_LINK_MBPS: f64 = 1.0;
 const MAX_LINK_MBPS: f64 = 1e6;
-/// The shortest of the users.
+/// The shortest bound that users require.
 const DEFAULT_CONFIGURATION_BOUND_MS: u64 = 3_000;
-/// Heartbeats and calls to the store take their time; nothing is in force everywhere sooner.
+/// Heartbeats and calls to the store take this long; no change is in force everywhere sooner.
 const MIN_CONFIGURATION_BOUND_MS: u64 = 500;
 
 /// Settings of a node.
@@ -31,45 +31,46 @@
 pub struct NodeSettings {
     /// The node's name, unique among all nodes.
     pub name: String,
-    /// The node itself; its address takes messages over UDP and gives snapshots over TCP.
+    /// The node itself. Its address receives messages over UDP and serves snapshots over TCP.
     pub node: Node,
-    /// What it does, with the sockets for it.
+    /// The settings of its role.
     pub role_settings: RoleSettings,
-    /// Where it is asked whether callers' packets should come here.
+    /// Address that serves readiness probes over HTTP.
     pub readiness: Option<SocketAddrV4>,
-    /// Where its counters are read.
+    /// Address that serves metrics over HTTP.
     pub metrics: Option<SocketAddrV4>,
-    /// The shared store.
+    /// Address of the shared store.
     pub store: SocketAddrV4,
-    /// Nodes to ask for a snapshot at the start.
+    /// Nodes from which a snapshot is fetched at the start.
     pub seeds: Vec<SocketAddrV4>,
-    /// An accepted configuration or evacuation is in force everywhere after this time.
+    /// Time after which an accepted configuration or evacuation must be in force on all nodes.
     pub configuration_bound: Duration,
-    /// A cold back end is given at most so many times the new flows that the configuration tells.
+    /// A cold back end receives at most this multiple of the rate of new flows that the
+    /// configuration gives.
     pub cold_overshoot: f64,
-    /// Megabits a second that the machine's link carries.
+    /// Bandwidth of the machine's link, in megabits per second.
     pub link_mbps: f64,
     /// How long a planned stop may take.
     pub stop_grace: Duration,
-    /// Age that no flow exceeds.
+    /// Maximum age of a flow.
     pub longest_flow: Duration,
-    /// No process of the system has run before.
+    /// Whether the system is started for the first time, so that no earlier process has run.
     pub is_first_start: bool,
-    /// Mechanisms that are on.
+    /// Enabled mechanisms.
     pub policies: Policies,
 }
 
-/// What a node does.
+/// The settings of a node's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RoleSettings {
-    /// Takes callers' packets.
+    /// A balancer, which receives callers' packets.
     Balancer(BalancerSettings),
-    /// Stands beside a back end.
+    /// An agent, which runs on the machine of a back end.
     Agent(AgentSettings),
 }
 
 impl RoleSettings {
-    /// What the node does, in logs.
+    /// The role's name in logs.
     pub fn name(&self) -> &'static str {
         match self {
             RoleSettings::Balancer(_) => "balancer",
@@ -81,27 +82,27 @@
 /// A balancer's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BalancerSettings {
-    /// Takes callers' packets over UDP.
+    /// UDP address that receives callers' packets.
     pub ingress: SocketAddrV4,
 }
 
 /// An agent's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AgentSettings {
-    /// Takes the back end's packets over UDP.
+    /// UDP address that receives the back end's packets.
     pub outbound: SocketAddrV4,
-    /// Takes the back end's heartbeats over HTTP.
+    /// Address that receives the back end's heartbeats over HTTP.
     pub control: SocketAddrV4,
-    /// The back end: packets over UDP, its health page over TCP.
+    /// Address of the back end: packets over UDP, its health page over HTTP.
     pub backend: SocketAddrV4,
     /// The back end's service.
     pub service: String,
-    /// Port at which callers take packets.
+    /// Port at which callers receive packets.
     pub caller_port: u16,
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file's text; every finding is reported with its place.
+    /// Parses and checks the text of a settings file. Every finding has its line and column.
     pub fn read(
         file: &str,
         text: &str,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Findings of a file whose settings are not whole though nothing was found; never shown.
+/// Result for settings that are incomplete although there are no findings; this never happens.
 fn no_findings(file: &str) -> Findings {
     Findings { file: file.to_owned(), list: Vec::new() }
 }
@@ -138,7 +139,8 @@
     let region = reader.text("region");
     let messages = reader.listener("messages");
     let readiness = reader.optional_listener("readiness");
-    // A node without metrics is better than none: an address that is taken is told at the start.
+    // Not checked as a listener: if the address is taken, the node starts without metrics and logs
+    // a warning.
     let metrics = reader.optional_address("metrics");
     let store = reader.address("store");
     let seeds = reader.addresses("seeds");
@@ -183,7 +185,8 @@
         readiness,
         metrics,
         store: store?,
-        // Seeds are named by any of their addresses; the ports are alike on all machines.
+        // Seeds may be given with any of their ports: the port for messages is the same on all
+        // machines.
         seeds: seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), messages_port)).collect(),
         configuration_bound: Duration::from_millis(bound?.min(evacuation_bound?)),
         cold_overshoot: cold_overshoot?,
@@ -208,7 +211,7 @@
     }
 }
 
-/// Every mechanism but those that are named.
+/// All policies except those listed in `policies_off`.
 fn read_policies(reader: &mut Reader<'_, '_>) -> Policies {
     let mut policies = Policies::default();
     for (name, offset) in reader.texts("policies_off") {
@@ -216,7 +219,7 @@
             Ok(policy) => policies = policies.without(policy),
             Err(_) => {
                 let expected = Policy::ALL.map(Policy::name).join(", ");
-                reader.finding(offset, format!("unknown mechanism `{name}`"), &expected);
+                reader.finding(offset, format!("unknown policy `{name}`"), &expected);
             }
         }
     }
--- a/crates/node/src/settings_check.rs
+++ b/crates/node/src/settings_check.rs
@@ -1,5 +1,6 @@
-//! SIGHUP: the settings file has changed. What changed is told and takes effect at the next start;
-//! everything that must change in a running node comes with the configuration.
+//! Checks the settings file on SIGHUP and logs whether it is valid and whether it has changed.
+//! Changes take effect at the next start; whatever must change in a running node is part of the
+//! configuration.
 
 use crate::settings::NodeSettings;
 use anyhow::{Context, Result};
@@ -7,12 +8,12 @@
 use std::path::PathBuf;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Listens for SIGHUP from now on.
+/// Starts to listen for SIGHUP.
 pub(crate) fn hangup_signals() -> Result<Signal> {
     signal(SignalKind::hangup()).context("cannot listen for SIGHUP")
 }
 
-/// Checks the settings file at each request and tells what became of it.
+/// Checks the settings file at each signal and logs the result.
 pub(crate) async fn check_on_hangup(mut hangups: Signal, file: PathBuf, in_force: NodeSettings) {
     while hangups.recv().await.is_some() {
         check(&file, &in_force);
--- a/crates/node/src/shared_store.rs
+++ b/crates/node/src/shared_store.rs
@@ -1,10 +1,12 @@
-//! The store that all nodes share: it holds the operators' configuration and the list of nodes.
+//! The interface to the store that all nodes share. It holds the operators' configuration and the
+//! list of nodes.
 //!
-//! Nothing on a data path waits for it. A call that got no answer may have taken effect; every call
-//! here may be repeated.
+//! No data path waits for the store. A call without an answer may have taken effect; every call may
+//! be repeated.
 //!
-//! The store may come back from a copy some seconds old. What the system wrote there since is gone then, and
-//! revisions are given out again: one means something only together with its era.
+//! The store may be restored from a copy that is some seconds old. Later writes are lost then and
+//! their revisions are assigned again, so a revision has a meaning only together with the store's
+//! era.
 
 use loftdrift_carried::{CarriedConfiguration, NodeRole, Position};
 use std::collections::BTreeSet;
@@ -13,46 +15,47 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why the store gave no usable answer.
+/// Why a call returned no usable answer.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum StoreFailure {
     /// No answer; the call may have taken effect.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// Too many calls; nothing was done.
+    /// Refused by the store's rate limit; the call had no effect.
     #[error("throttled")]
     Throttled,
-    /// Not now; nothing was done.
-    #[error("refused for now")]
+    /// The store is temporarily unavailable; the call had no effect.
+    #[error("temporarily unavailable")]
     Unavailable,
-    /// What was asked for is gone: an entry, a history that is forgotten or that the store never had.
+    /// The requested entry does not exist, or the store does not have the requested revisions: they
+    /// were discarded, or belong to another era.
     #[error("gone")]
     Gone,
-    /// The store came back from an older copy between two parts of an answer; nothing of it counts.
-    #[error("the store came back from an older copy meanwhile")]
+    /// The store was restored from an older copy between two parts of an answer. No part is valid.
+    #[error("the store was restored from an older copy during the call")]
     Restored,
-    /// An answer that cannot be read.
-    #[error("unreadable: {0}")]
+    /// The answer cannot be parsed.
+    #[error("unreadable answer: {0}")]
     Unreadable(String),
 }
 
 /// A node's entry in the list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// The node's name: writing it again replaces the entry.
+    /// The node's name, which is the entry's key: another write replaces the entry.
     pub name: String,
-    /// Where other nodes reach it.
+    /// Address for messages from other nodes.
     pub address: SocketAddrV4,
-    /// What it does.
+    /// The node's role.
     pub role: NodeRole,
 }
 
-/// How new an answer must be.
+/// How current an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// All that was acknowledged before is in it.
+    /// It includes every write that was acknowledged before the call.
     Latest,
-    /// It may be seconds old; such an answer costs the store less.
+    /// It may be some seconds old. Such an answer costs the store less.
     MayBeStale,
 }
 
@@ -61,7 +64,7 @@
 pub struct MemberEntry {
     /// The node.
     pub member: Member,
-    /// The store's revision then.
+    /// The store's revision of that write.
     pub revision: u64,
 }
 
@@ -70,73 +73,76 @@
 pub struct MemberList {
     /// All entries.
     pub entries: Vec<MemberEntry>,
-    /// Every entry written up to there is in it, unless it is gone. Of a list that may be old the era
-    /// is that of the answer: what is in it may be from before the store's last return.
+    /// The list includes every entry written up to this position that was not removed. In a stale
+    /// list the era is that of the answer, while the entries may be from before the store's last
+    /// restore.
     pub position: Position,
 }
 
-/// All that operators have written, as one reading found it.
+/// Everything that operators have written, as returned by one read.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorState {
-    /// The configuration, but for evacuations; `None` before the first one is written.
+    /// The configuration without evacuations; `None` if none has been written yet.
     pub configuration: Option<CarriedConfiguration>,
     /// Zones that are evacuated.
     pub evacuated: BTreeSet<String>,
-    /// Everything written up to there is in it.
+    /// The state includes everything written up to this position.
     pub position: Position,
 }
 
-/// What a wait for changes of the operators' brought.
+/// Result of a watch for changes that operators make.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct OperatorChange {
-    /// The newest configuration, but for evacuations; `None` when it has not changed.
+    /// The newest configuration without evacuations; `None` if it has not changed.
     pub configuration: Option<CarriedConfiguration>,
-    /// Zones whose evacuation began or ended, with whether they are evacuated now; in order.
+    /// Zones whose evacuation began or ended, in the order of the writes, with whether they are now
+    /// evacuated.
     pub evacuations: Vec<(String, bool)>,
-    /// Revision of the last of these changes; `None` when there was none.
+    /// Revision of the last of these changes; `None` if there was none.
     pub changed_at: Option<u64>,
-    /// Where to go on from.
+    /// The position after which to watch next.
     pub position: Position,
 }
 
-/// A client of the store. An implementation translates and decides nothing.
+/// A client of the store. An implementation only translates; it makes no decisions.
 pub trait SharedStore: Clone + Send + Sync + 'static {
-    /// Reads what operators have written.
+    /// Reads the configuration and the evacuations.
     fn read_operator_state(
         &self,
         consistency: Consistency,
     ) -> impl Future<Output = Result<OperatorState, StoreFailure>> + Send;
 
-    /// Waits up to `patience` for operators to write something after a position. The answer may be of
-    /// another era: then it tells nothing of what was waited for.
+    /// Waits up to `timeout` for operators to write something after a position. The answer may be
+    /// of another era; then it says nothing about changes after that position.
     fn wait_for_change(
         &self,
         after: Position,
         timeout: Duration,
     ) -> impl Future<Output = Result<OperatorChange, StoreFailure>> + Send;
 
-    /// Writes a node's entry; gives where the entry stands.
+    /// Writes a node's entry; returns the position of the write.
     fn write_member(
         &self,
         member: &Member,
     ) -> impl Future<Output = Result<Position, StoreFailure>> + Send;
 
-    /// Removes a node's entry; with a revision, only one that was written then, and `Gone` where another
-    /// or none stands. Gives where that was done: in another era the revision may be another writing's.
+    /// Removes a node's entry. With a revision, removes only the entry of that write, and returns
+    /// [`StoreFailure::Gone`] if there is another entry or none. Returns the position of the
+    /// removal: if its era differs from the revision's, the revision may stand for another write.
     fn remove_member(
         &self,
         member: &Member,
         expected_revision: Option<u64>,
     ) -> impl Future<Output = Result<Position, StoreFailure>> + Send;
 
-    /// Reads what stands under a node's name; `None` where that cannot be read.
+    /// Reads the entry under a node's name; `None` if the entry cannot be parsed.
     fn read_member(
         &self,
         member: &Member,
         consistency: Consistency,
     ) -> impl Future<Output = Result<Option<Member>, StoreFailure>> + Send;
 
-    /// Reads all entries of nodes of a role.
+    /// Reads all entries of a role.
     fn read_members(
         &self,
         role: NodeRole,
--- a/crates/node/src/shutdown.rs
+++ b/crates/node/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop: take nothing new, go on until nothing would be cut, then end.
+//! A planned stop: accept no new flows, keep running until no flow would be interrupted, then exit.
 
 use crate::command::{Command, NodeStatus};
 use anyhow::{Context, Result};
@@ -6,12 +6,13 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::{mpsc, watch};
 
-/// The platform looks for readiness a few times before it turns callers away.
+/// The platform checks readiness a few times before it directs callers elsewhere.
 const READINESS_DELAY: Duration = Duration::from_millis(1_200);
-/// Kept free of the grace, so that the process ends by itself.
+/// Part of the grace period kept free, so that the process exits before it is killed.
 const EXIT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Ends once the process has been asked to stop and has nothing left to do, or has no more time.
+/// Waits for a stop signal, then until the node is drained or its grace period is nearly over.
+/// Returns which of the two it was, for the log.
 pub(crate) async fn wait_for_stop(
     grace: Duration,
     is_balancer: bool,
--- a/crates/node/src/snapshots.rs
+++ b/crates/node/src/snapshots.rs
@@ -1,9 +1,11 @@
-//! Snapshots between nodes: whoever connects is given one and the connection ends.
+//! Transfers snapshots between nodes over TCP: a node that connects receives one, then the
+//! connection is closed.
 //!
-//! A configuration of many routes is large beside a slow link: dozens of nodes that fetch it at once from
-//! one balancer would hold up callers' packets there for seconds. Each node therefore gives snapshots
-//! within a share of its link, and ends other connections at once; whoever got nothing hears of
-//! the version from others as well, and the first that have it give it on.
+//! A configuration of many routes is large for a slow link: dozens of nodes that fetch it at once
+//! from one balancer would delay callers' packets there for seconds. Each node therefore sends
+//! snapshots only within a share of its link and closes further connections at once. A node that
+//! received nothing learns of the version from other nodes too, and the first nodes that have it
+//! serve it as well.
 
 use crate::command::Command;
 use crate::snapshot_budget::SnapshotBudget;
@@ -15,16 +17,16 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// A node that has not given its snapshot in this time is not waited for.
+/// A fetch that takes longer is abandoned.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
-/// A node that has not taken its snapshot in this time is left.
+/// A connection whose peer has not read its snapshot in this time is dropped.
 const SEND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest snapshot that is read, in bytes.
+/// Largest snapshot that is accepted.
 const MAX_SNAPSHOT_BYTES: u64 = 4 * 1024 * 1024;
-/// Time between two fetches, so that changes in quick succession are taken together.
+/// Delay between two fetches, so that changes in quick succession are fetched together.
 const FETCH_INTERVAL: Duration = Duration::from_millis(60);
 
-/// Gives snapshots until nobody listens.
+/// Serves snapshots until the core's task has ended.
 pub(crate) async fn serve(
     listener: TcpListener,
     mut budget: SnapshotBudget,
@@ -49,7 +51,7 @@
     }
 }
 
-/// The core's snapshot; `None` while the process ends.
+/// Requests this node's snapshot from its core; `None` while the process ends.
 pub(crate) async fn request_own(commands: &mpsc::Sender<Command>) -> Option<Snapshot> {
     let (sender, receiver) = oneshot::channel();
     commands.send(Command::GetSnapshot(sender)).await.ok()?;
@@ -57,12 +59,12 @@
 }
 
 async fn write(mut stream: TcpStream, bytes: Vec<u8>) {
-    // The reader notices a snapshot that was cut off.
+    // Errors are ignored: the reader detects a truncated snapshot.
     let _ = stream.write_all(&bytes).await;
     let _ = stream.shutdown().await;
 }
 
-/// Fetches snapshots from nodes that are named, one after the other.
+/// Fetches snapshots from the nodes that the core requests, one after the other.
 pub(crate) async fn fetch_requested(
     mut sources: mpsc::Receiver<SocketAddrV4>,
     commands: mpsc::Sender<Command>,
@@ -73,7 +75,8 @@
     }
 }
 
-/// Fetches a snapshot from each seed at once; those that are down or stale give none.
+/// Fetches a snapshot from all seeds at the same time. Seeds that are down or no longer
+/// exist send none.
 pub(crate) async fn fetch_from_seeds(seeds: Vec<SocketAddrV4>, commands: mpsc::Sender<Command>) {
     let fetches = seeds.into_iter().map(|seed| {
         let commands = commands.clone();
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -1,15 +1,16 @@
-//! Reads what operators have written once whenever the core asks for it: an agent does so for balancers that
-//! the shared store refuses, a balancer when nobody tells it of the store.
+//! Reads the operators' configuration and evacuations once whenever the core requests it. An agent
+//! does so on behalf of balancers that the shared store refuses (a delegated store read); a
+//! balancer does so when no other node confirms to it that the store is reachable.
 
 use crate::command::Command;
 use crate::shared_store::{Consistency, SharedStore};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Shortest time between two readings, whoever asks.
+/// Minimum time between two reads, however many are requested.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads until nobody asks any more.
+/// Reads the store at each request until the request channel is closed.
 pub(crate) async fn run(
     store: impl SharedStore,
     mut requests: mpsc::Receiver<()>,
@@ -19,7 +20,7 @@
         let is_reachable = match store.read_operator_state(Consistency::Latest).await {
             Ok(state) => {
                 if let Some(document) = state.document() {
-                    // Nobody listens only while the process ends.
+                    // Sending fails only while the process ends.
                     let _ = commands.send(Command::AdoptConfiguration(document)).await;
                 }
                 true
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! The key-value store's client.
+//! Client of the key-value store.
 
 use crate::etcd::{
     Base64Text, Compare, DeleteRangeRequest, KeyValueMessage, Number, PutRequest, RANGE_PATH,
@@ -16,7 +16,7 @@
 const EQUAL: &str = "EQUAL";
 const MOD: &str = "MOD";
 
-/// Why the store gave no usable answer.
+/// Why a request to the store failed.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The request failed; it may have taken effect.
@@ -41,7 +41,7 @@
         self.http.bytes()
     }
 
-    /// Carries out a core's request.
+    /// Sends a core's request and returns the store's reply.
     pub async fn send(&self, request: &StoreRequest) -> Result<StoreReply, StoreError> {
         match request {
             StoreRequest::ReadPrefix { prefix } => self.read_prefix(prefix).await,
@@ -68,7 +68,7 @@
         Ok(StoreReply::Keys { keys, revision: answer.header.revision.0 })
     }
 
-    /// Opens a watch on the keys that begin with `prefix`, from a store revision on.
+    /// Opens a watch on the keys that begin with `prefix`, starting at store revision `from`.
     pub async fn watch(&self, prefix: &str, from: u64) -> Result<LineStream, StoreError> {
         let request = WatchRequest {
             create_request: WatchCreateRequest {
--- a/crates/store/src/etcd.rs
+++ b/crates/store/src/etcd.rs
@@ -1,11 +1,11 @@
-//! Messages of etcd's v3 JSON interface (the gRPC gateway's mapping): keys and values in base64,
-//! 64-bit numbers as strings, fields of default value left out.
+//! Messages of etcd's v3 JSON interface, in the gRPC gateway's mapping: keys and values are base64,
+//! 64-bit numbers are strings, and fields with default values may be left out.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Path of range requests.
+/// Path of range requests, which read keys.
 pub const RANGE_PATH: &str = "/v3/kv/range";
 /// Path of put requests.
 pub const PUT_PATH: &str = "/v3/kv/put";
@@ -13,14 +13,14 @@
 pub const TXN_PATH: &str = "/v3/kv/txn";
 /// Path of watches.
 pub const WATCH_PATH: &str = "/v3/watch";
-/// Path to grant a lease.
+/// Path of requests that grant a lease.
 pub const LEASE_GRANT_PATH: &str = "/v3/lease/grant";
-/// Path to keep a lease alive.
+/// Path of requests that keep a lease alive.
 pub const LEASE_KEEP_ALIVE_PATH: &str = "/v3/lease/keepalive";
-/// Path to revoke a lease.
+/// Path of requests that revoke a lease.
 pub const LEASE_REVOKE_PATH: &str = "/v3/lease/revoke";
 
-/// Text that travels as base64.
+/// Text that is encoded as base64 in JSON.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Base64Text(pub String);
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// A 64-bit number that travels as a string.
+/// A 64-bit number that is encoded as a string in JSON. A plain JSON number is accepted too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Number(pub u64);
 
@@ -83,11 +83,11 @@
     pub create_revision: Number,
     /// Revision that last wrote the key.
     pub mod_revision: Number,
-    /// Identity of the lease that the key hangs on, 0 for none.
+    /// ID of the lease that the key is attached to; 0 for none.
     pub lease: Number,
 }
 
-/// Reads the keys from `key` to before `range_end`, or just `key`.
+/// Reads the keys from `key` up to but excluding `range_end`, or only `key`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeRequest {
@@ -97,7 +97,7 @@
     pub range_end: Base64Text,
 }
 
-/// Answers a range request.
+/// Response to a range request.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RangeResponse {
@@ -115,11 +115,11 @@
     pub key: Base64Text,
     /// The value.
     pub value: Base64Text,
-    /// The lease that the key hangs on, 0 for none.
+    /// ID of the lease to attach the key to; 0 for none.
     pub lease: Number,
 }
 
-/// Answers a put request or an operation of a lease.
+/// Response that has only a header: to a put request and to revoking a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PlainResponse {
@@ -127,7 +127,7 @@
     pub header: ResponseHeader,
 }
 
-/// Removes keys.
+/// Deletes keys.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct DeleteRangeRequest {
@@ -151,31 +151,31 @@
     pub mod_revision: Number,
 }
 
-/// One operation of a transaction: exactly one field is set.
+/// One operation of a transaction. Exactly one field is set.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RequestOperation {
     /// Writes a key.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_put: Option<PutRequest>,
-    /// Removes keys.
+    /// Deletes keys.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub request_delete_range: Option<DeleteRangeRequest>,
 }
 
-/// Carries out `success` when every comparison holds, otherwise `failure`.
+/// Executes `success` if every comparison holds, otherwise `failure`.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnRequest {
     /// The conditions.
     pub compare: Vec<Compare>,
-    /// Operations when they hold.
+    /// Operations to execute if they hold.
     pub success: Vec<RequestOperation>,
-    /// Operations when they do not.
+    /// Operations to execute if they do not.
     pub failure: Vec<RequestOperation>,
 }
 
-/// Answers a transaction.
+/// Response to a transaction.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct TxnResponse {
@@ -193,7 +193,7 @@
     pub create_request: WatchCreateRequest,
 }
 
-/// What a watch watches.
+/// The keys of a watch and the revision that it starts at.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchCreateRequest {
@@ -201,7 +201,7 @@
     pub key: Base64Text,
     /// The end; empty for a single key.
     pub range_end: Base64Text,
-    /// The first revision of interest.
+    /// The first revision whose events are sent.
     pub start_revision: Number,
 }
 
@@ -213,23 +213,23 @@
     pub result: WatchResponse,
 }
 
-/// What happened to the watched keys in one revision.
+/// Events of the watched keys in one revision, or a change of the watch's own state.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchResponse {
     /// Header.
     pub header: ResponseHeader,
-    /// The watch was opened.
+    /// Whether this response confirms that the watch is open.
     pub created: bool,
-    /// The watch has ended.
+    /// Whether the store has ended the watch.
     pub canceled: bool,
-    /// When not 0: the events asked for are compacted up to this revision.
+    /// If not 0, the requested events up to this revision have been compacted.
     pub compact_revision: Number,
     /// The events.
     pub events: Vec<WatchEvent>,
 }
 
-/// What happened to a key.
+/// A change of a key.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct WatchEvent {
@@ -240,22 +240,22 @@
     pub kv: KeyValueMessage,
 }
 
-/// Kind of the event of a removed key.
+/// [`WatchEvent::kind`] of a deleted key.
 pub const DELETE_EVENT: &str = "DELETE";
 
-/// Asks for a lease.
+/// Requests a lease.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseGrantRequest {
     /// Time to live, in seconds.
     #[serde(rename = "TTL")]
     pub ttl: Number,
-    /// The wanted identity, 0 for any.
+    /// The requested ID; 0 for any.
     #[serde(rename = "ID")]
     pub id: Number,
 }
 
-/// Names a lease.
+/// Request to keep a lease alive or to revoke it.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseRequest {
@@ -264,7 +264,7 @@
     pub id: Number,
 }
 
-/// Answers a grant or a keep-alive.
+/// Response to granting a lease or keeping it alive.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LeaseResponse {
@@ -273,15 +273,15 @@
     /// The lease.
     #[serde(rename = "ID")]
     pub id: Number,
-    /// Time to live, in seconds; 0 when the lease is gone.
+    /// Time to live, in seconds; 0 if the lease no longer exists.
     #[serde(rename = "TTL")]
     pub ttl: Number,
 }
 
-/// The end of the range of keys that begin with `prefix`.
+/// The `range_end` for all keys that begin with `prefix`.
 pub fn prefix_end(prefix: &str) -> String {
     let mut end = prefix.to_owned();
-    // Prefixes here end in an ASCII character below `~`, whose successor is one too.
+    // All prefixes in use end in an ASCII character below `~`, so its successor is ASCII too.
     if let Some(last) = end.pop() {
         end.push(char::from_u32(last as u32 + 1).unwrap_or(char::MAX));
     }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -1,5 +1,7 @@
-//! Keeps a process's configuration up to date: reads all of it, then watches. A watch that says nothing may be
-//! a quiet one or a connection that has gone silent: the newest head is asked for on another one.
+//! Keeps a process's configuration up to date: reads all of it, then watches for changes.
+//!
+//! A watch without events may mean that nothing has changed or that its connection has failed
+//! silently. The head key, which each change writes, is therefore read over another connection.
 
 use crate::client::{StoreClient, StoreError, key_value};
 use crate::etcd::{DELETE_EVENT, WatchLine, WatchResponse};
@@ -15,8 +17,8 @@
 
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(5);
-/// A watch that says nothing is trusted for about so long: a third of the time in which a change is to be in
-/// force everywhere.
+/// How long a watch may stay without events before the head key is read, give or take a quarter. A
+/// third of the time within which a change must be in force everywhere.
 const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
 #[derive(Debug, Error)]
@@ -27,14 +29,14 @@
     Document(#[from] DocumentError),
     #[error("the watch ended")]
     WatchEnded,
-    #[error("nobody needs the configuration any more")]
+    #[error("all receivers of the configuration were dropped")]
     NoSubscribers,
 }
 
-/// Publishes each configuration that the store holds, until nobody listens.
+/// Publishes each new configuration from the store until all receivers are dropped.
 ///
-/// While the store cannot be reached, the last one stays published; attempts come with growing,
-/// jittered pauses, so that many processes do not return at once.
+/// While the store cannot be reached, the last configuration stays published. Retries use
+/// exponential backoff with jitter, so that many processes do not return at the same time.
 pub async fn follow_configuration(
     store: StoreClient,
     seed: u64,
@@ -45,7 +47,7 @@
     let mut is_reachable = true;
     loop {
         let mut has_read = false;
-        // Many processes that started together do not ask at the same moment.
+        // Jitter, so that processes that started together do not read the head at the same moment.
         let idle_timeout = WATCH_IDLE_TIMEOUT.mul_f64(rng.random_range(0.75..1.25));
         let error = match read_and_watch(&store, &published, idle_timeout, &mut has_read).await {
             Err(FollowError::NoSubscribers) => return,
@@ -103,7 +105,7 @@
     }
 }
 
-/// Whether the store's head, which each change writes, is the one known.
+/// Whether the store's head key, which each change writes, has the revision that is known.
 async fn is_newest(store: &StoreClient, known: &Documents) -> Result<bool, StoreError> {
     let request = StoreRequest::ReadPrefix { prefix: HEAD_KEY.to_owned() };
     let StoreReply::Keys { keys, .. } = store.send(&request).await? else { return Ok(false) };
@@ -122,7 +124,8 @@
     Ok(())
 }
 
-/// Publishes only what is newer: a store that was restored from an older copy rolls nothing back.
+/// Publishes the configuration only if it is newer than the published one, so that a store restored
+/// from an older copy does not roll back the configuration.
 fn publish(
     documents: &Documents,
     published: &watch::Sender<Option<Arc<Configuration>>>,
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,8 +1,9 @@
-//! Client of the platform's services, through their published protocols.
+//! Clients of the platform's services, using their published protocols.
 //!
-//! [`etcd`] holds the messages of etcd's v3 JSON-over-HTTP interface, which the stand-in shares;
-//! [`StoreClient`] carries the cores' requests over it; [`follow_configuration`] keeps a process's configuration
-//! up to date; [`MachineListClient`] reads the lagging list of machines.
+//! [`etcd`] defines the messages of etcd's v3 JSON-over-HTTP interface, which the stand-in platform
+//! uses too. [`StoreClient`] sends the cores' requests to the key-value store,
+//! [`follow_configuration`] keeps a process's configuration up to date, and [`MachineListClient`]
+//! reads the platform's list of machines, which lags behind the actual ones.
 
 mod client;
 pub mod etcd;
--- a/crates/store/src/machines.rs
+++ b/crates/store/src/machines.rs
@@ -1,4 +1,4 @@
-//! The platform's list of machines: what it believes to be there, late.
+//! Client of the platform's list of machines, which lags behind the machines that actually run.
 
 use hyper::Method;
 use loftdrift_http::{HttpClient, HttpError};
@@ -18,17 +18,17 @@
     Backend,
 }
 
-/// Whether a machine is there to stay.
+/// Whether a machine keeps running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It is believed to run.
+    /// It is running, as far as the platform knows.
     Live,
-    /// It is about to go.
+    /// It will be removed soon.
     Leaving,
 }
 
-/// A machine on the list.
+/// A machine in the list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// Its name.
@@ -37,18 +37,18 @@
     pub role: MachineRole,
     /// UDP address of its loftdrift process.
     pub address: SocketAddrV4,
-    /// Whether it stays.
+    /// Whether it keeps running.
     pub state: MachineState,
 }
 
-/// The list.
+/// The list of machines.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
     /// The machines.
     pub machines: Vec<Machine>,
 }
 
-/// Reads the list.
+/// A client that reads and updates the list of machines.
 #[derive(Clone, Debug)]
 pub struct MachineListClient {
     http: HttpClient,
@@ -60,12 +60,12 @@
         MachineListClient { http: HttpClient::new(server, REQUEST_TIMEOUT) }
     }
 
-    /// The list as the platform believes it now.
+    /// Reads the platform's current list.
     pub async fn read(&self) -> Result<MachineList, HttpError> {
         self.http.send_json(Method::GET, "/machines", &()).await
     }
 
-    /// Replaces a machine's entry, as the platform's own tools do when one is started.
+    /// Replaces a machine's entry, as the platform's own tools do when they start a machine.
     pub async fn put(&self, machine: &Machine) -> Result<(), HttpError> {
         self.http.send_json(Method::PUT, "/machines", machine).await
     }
