--- a/crates/node/tests/restored_store.rs
+++ b/crates/node/tests/restored_store.rs
@@ -1,4 +1,5 @@
-//! What the tasks around a core make of a store that comes back from an older copy between two of their calls.
+//! How the tasks around a core handle a store that is restored from an older copy between two of
+//! their calls.
 
 use loftdrift_carried::{CarriedConfiguration, NodeRole, Position, Version};
 use loftdrift_node::{
@@ -11,22 +12,22 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// Bounds every wait; reaching it fails the test.
-const PATIENCE: Duration = Duration::from_secs(10);
+/// Limits every wait; reaching it fails the test.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers given one after the other; a call beyond the last one is never answered.
+/// A store that returns the scripted answers in order. A call beyond the last one never returns.
 #[derive(Clone, Debug, Default)]
 struct ScriptedStore(Arc<Mutex<Script>>);
 
 #[derive(Debug, Default)]
 struct Script {
-    readings: VecDeque<Result<OperatorState, StoreFailure>>,
-    waits: VecDeque<Result<OperatorChange, StoreFailure>>,
+    reads: VecDeque<Result<OperatorState, StoreFailure>>,
+    watches: VecDeque<Result<OperatorChange, StoreFailure>>,
     lists: VecDeque<MemberList>,
-    /// Eras in which entries are removed.
+    /// Eras that the removals of entries return.
     removals: VecDeque<u64>,
-    /// How new each list was to be.
-    asked: Vec<Consistency>,
+    /// The requested consistency of each list.
+    requested: Vec<Consistency>,
 }
 
 impl ScriptedStore {
@@ -41,7 +42,7 @@
 
 impl SharedStore for ScriptedStore {
     async fn read_operator_state(&self, _: Consistency) -> Result<OperatorState, StoreFailure> {
-        self.next(|script| script.readings.pop_front()).await
+        self.next(|script| script.reads.pop_front()).await
     }
 
     async fn wait_for_change(
@@ -49,7 +50,7 @@
         _: Position,
         _: Duration,
     ) -> Result<OperatorChange, StoreFailure> {
-        self.next(|script| script.waits.pop_front()).await
+        self.next(|script| script.watches.pop_front()).await
     }
 
     async fn write_member(&self, _: &Member) -> Result<Position, StoreFailure> {
@@ -72,9 +73,9 @@
     async fn read_members(
         &self,
         _: NodeRole,
-        asked: Consistency,
+        consistency: Consistency,
     ) -> Result<MemberList, StoreFailure> {
-        self.0.lock().unwrap().asked.push(asked);
+        self.0.lock().unwrap().requested.push(consistency);
         Ok(self.next(|script| script.lists.pop_front()).await)
     }
 }
@@ -89,9 +90,9 @@
     OperatorState { configuration: Some(configuration(number)), evacuated, position }
 }
 
-/// A follower that is to wait at the store, and what it says to its core.
-fn follow(store: &ScriptedStore) -> mpsc::Receiver<Command> {
-    let (commands, said) = mpsc::channel(16);
+/// Starts a follower that should watch the store; returns the commands that it sends to its core.
+fn start_follower(store: &ScriptedStore) -> mpsc::Receiver<Command> {
+    let (commands, command_queue) = mpsc::channel(16);
     let status = NodeStatus {
         watches_store: true,
         configuration: Version { number: 1, ..Version::default() },
@@ -110,19 +111,19 @@
         follower.run().await;
         drop(sender);
     });
-    said
+    command_queue
 }
 
-/// What a task says next.
-async fn hear(said: &mut mpsc::Receiver<Command>) -> Command {
-    let next = tokio::time::timeout(PATIENCE, said.recv()).await;
-    next.expect("it says something").expect("it goes on")
+/// The next command that a task sends.
+async fn next_command(command_queue: &mut mpsc::Receiver<Command>) -> Command {
+    let next = tokio::time::timeout(WAIT_TIMEOUT, command_queue.recv()).await;
+    next.expect("a command arrives in time").expect("the task keeps running")
 }
 
-/// The next document that the core is given, if nothing is said of the store being lost before.
-async fn adopted(said: &mut mpsc::Receiver<Command>) -> CarriedConfiguration {
+/// The next document that the core is sent. Fails if the store is reported unreachable before.
+async fn next_document(command_queue: &mut mpsc::Receiver<Command>) -> CarriedConfiguration {
     loop {
-        match hear(said).await {
+        match next_command(command_queue).await {
             Command::AdoptConfiguration(document) => return document,
             Command::StoreReachable(answers) => assert!(answers, "the store answers"),
             other => panic!("{other:?}"),
@@ -130,10 +131,10 @@
     }
 }
 
-/// A change of the new history was added to what the old one had held: an evacuation that nobody had
-/// asked for any more stayed.
+/// The fault: a change of the new era was applied to the state of the old one, so an evacuation
+/// that the restored store no longer held stayed in force.
 #[tokio::test]
-async fn a_change_of_another_era_is_not_added_to_what_was_read_before() {
+async fn a_change_of_another_era_is_not_applied_to_an_earlier_state() {
     let store = ScriptedStore::default();
     let before = Position { era: 1, revision: 20 };
     let after = Position { era: 2, revision: 22 };
@@ -145,14 +146,14 @@
     };
     {
         let mut script = store.0.lock().unwrap();
-        script.readings.push_back(Ok(state(7, &["z"], before)));
-        script.waits.push_back(Ok(change));
-        script.readings.push_back(Ok(state(8, &[], after)));
+        script.reads.push_back(Ok(state(7, &["z"], before)));
+        script.watches.push_back(Ok(change));
+        script.reads.push_back(Ok(state(8, &[], after)));
     }
-    let mut said = follow(&store);
-    let first = adopted(&mut said).await;
+    let mut command_queue = start_follower(&store);
+    let first = next_document(&mut command_queue).await;
     assert_eq!((first.version.position, first.evacuated.len()), (before, 1));
-    let second = adopted(&mut said).await;
+    let second = next_document(&mut command_queue).await;
     assert_eq!(
         (second.version, second.evacuated.len()),
         (Version { number: 8, position: after }, 0)
@@ -160,19 +161,19 @@
 }
 
 #[tokio::test]
-async fn a_history_that_is_gone_is_read_again_and_is_no_loss_of_the_store() {
+async fn lost_history_is_read_again_and_not_reported_as_an_unreachable_store() {
     for failure in [StoreFailure::Gone, StoreFailure::Restored] {
         let store = ScriptedStore::default();
         let after = Position { era: 2, revision: 12 };
         {
             let mut script = store.0.lock().unwrap();
-            script.readings.push_back(Ok(state(7, &[], Position { era: 1, revision: 20 })));
-            script.waits.push_back(Err(failure));
-            script.readings.push_back(Ok(state(9, &[], after)));
+            script.reads.push_back(Ok(state(7, &[], Position { era: 1, revision: 20 })));
+            script.watches.push_back(Err(failure));
+            script.reads.push_back(Ok(state(9, &[], after)));
         }
-        let mut said = follow(&store);
-        adopted(&mut said).await;
-        let again = adopted(&mut said).await;
+        let mut command_queue = start_follower(&store);
+        next_document(&mut command_queue).await;
+        let again = next_document(&mut command_queue).await;
         assert_eq!(again.version, Version { number: 9, position: after });
     }
 }
@@ -184,11 +185,11 @@
     MemberList { entries: vec![MemberEntry { member, revision: 24 }], position }
 }
 
-/// Answers audits: the one node that is listed is dead. Gives whether each list was the newest.
-async fn audits(said: &mut mpsc::Receiver<Command>, count: usize) -> Vec<bool> {
+/// Answers audits with the first listed node as dead. Returns whether each list was the latest.
+async fn answer_audits(command_queue: &mut mpsc::Receiver<Command>, count: usize) -> Vec<bool> {
     let mut newest = Vec::new();
     while newest.len() < count {
-        match hear(said).await {
+        match next_command(command_queue).await {
             Command::AuditMembers(list, answer) => {
                 newest.push(list.is_newest);
                 let dead = list.nodes.iter().take(1).map(|node| node.address).collect();
@@ -200,9 +201,10 @@
     newest
 }
 
-/// The condition on a revision held for another writing of the same key, by a node that lives.
+/// The fault: the restored store had reused the revision that the removal was conditioned on for a
+/// later write of the same key, so the entry of a live node was removed.
 #[tokio::test]
-async fn after_a_removal_in_another_era_the_list_is_compared_again() {
+async fn after_a_removal_in_another_era_the_list_is_audited_again() {
     let store = ScriptedStore::default();
     {
         let mut script = store.0.lock().unwrap();
@@ -212,23 +214,23 @@
         script.removals.push_back(2);
         script.lists.extend([MemberList::default(), MemberList::default()]);
     }
-    let (ask, asked) = mpsc::channel(1);
-    let (commands, mut said) = mpsc::channel(4);
-    tokio::spawn(audit_members(store.clone(), asked, commands));
-    ask.send(Consistency::MayBeStale).await.unwrap();
-    assert_eq!(audits(&mut said, 2).await, [false, true]);
+    let (requests, request_queue) = mpsc::channel(1);
+    let (commands, mut command_queue) = mpsc::channel(4);
+    tokio::spawn(audit_members(store.clone(), request_queue, commands));
+    requests.send(Consistency::MayBeStale).await.unwrap();
+    assert_eq!(answer_audits(&mut command_queue, 2).await, [false, true]);
 }
 
 #[tokio::test]
-async fn lists_of_two_eras_are_not_compared_with_anybody() {
+async fn lists_of_two_eras_are_not_audited() {
     let store = ScriptedStore::default();
     store.0.lock().unwrap().lists.extend([list(1), list(2), list(2), list(2)]);
     store.0.lock().unwrap().removals.extend([2, 2]);
-    let (ask, asked) = mpsc::channel(1);
-    let (commands, mut said) = mpsc::channel(4);
-    tokio::spawn(audit_members(store.clone(), asked, commands));
-    ask.send(Consistency::MayBeStale).await.unwrap();
-    assert_eq!(audits(&mut said, 1).await, [true]);
-    let newest = |asked: &Consistency| *asked == Consistency::Latest;
-    assert_eq!(store.0.lock().unwrap().asked.iter().filter(|asked| newest(asked)).count(), 2);
+    let (requests, request_queue) = mpsc::channel(1);
+    let (commands, mut command_queue) = mpsc::channel(4);
+    tokio::spawn(audit_members(store.clone(), request_queue, commands));
+    requests.send(Consistency::MayBeStale).await.unwrap();
+    assert_eq!(answer_audits(&mut command_queue, 1).await, [true]);
+    let is_latest = |consistency: &Consistency| *consistency == Consistency::Latest;
+    assert_eq!(store.0.lock().unwrap().requested.iter().filter(|read| is_latest(read)).count(), 2);
 }
--- a/crates/node/tests/settings.rs
+++ b/crates/node/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: read whole, or every finding with its place.
+//! A settings file is read completely, or every finding is reported with its line and column.
 
 use loftdrift_node::{NodeSettings, RoleSettings};
 use loftdrift_settings::Overrides;
@@ -34,15 +34,15 @@
 }
 
 #[test]
-fn whole_files_are_read_and_seeds_are_met_at_the_port_for_messages() {
+fn complete_files_are_read_and_seeds_use_the_port_for_messages() {
     let balancer = read(BALANCER).unwrap();
     let seeds: Vec<String> = balancer.seeds.iter().map(ToString::to_string).collect();
     assert_eq!(seeds, ["10.2.0.1:7720", "10.3.0.1:7720"]);
     assert!(!balancer.is_first_start);
     let agent = read(AGENT).unwrap();
     assert!(agent.is_first_start);
-    let RoleSettings::Agent(place) = agent.role_settings else { panic!("no agent") };
-    assert_eq!(place.caller_port, 8_172);
+    let RoleSettings::Agent(settings) = agent.role_settings else { panic!("no agent") };
+    assert_eq!(settings.caller_port, 8_172);
 }
 
 #[test]
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn two_listeners_on_one_address_and_unknown_roles_are_found() {
+fn two_listeners_on_one_address_and_unknown_roles_are_reported() {
     let twice = BALANCER.replace("10.1.0.1:8167", "10.1.0.1:8172");
     assert!(read(&twice).unwrap_err().contains("as `readiness` does"));
     let unknown = BALANCER.replace("carried-balancer", "juggler");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn mechanisms_are_on_unless_they_are_named() {
+fn policies_are_on_unless_listed_in_policies_off() {
     use loftdrift_carried::Policy;
     let all = read(BALANCER).unwrap().policies;
     assert!(Policy::ALL.into_iter().all(|policy| all.has(policy)));
