--- a/crates/node/src/agent_core.rs
+++ b/crates/node/src/agent_core.rs
@@ -95,7 +95,7 @@
         self.agent.take_report(now, report)
     }
 
-    fn note_unreadable_report(&mut self) {
+    fn note_unreadable_request(&mut self) {
         self.agent.note_unreadable();
     }
 
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -29,7 +29,7 @@
     /// The back end is leaving or has ended. The reply is sent once this is in force.
     BackendDeparture(Incarnation, oneshot::Sender<()>),
     /// A request of the back end could not be parsed.
-    UnreadableReport,
+    UnreadableRequest,
     /// The back end's health page has answered: whether it is healthy.
     BackendHealth(bool),
     /// Result of an attempt to connect to the back end.
--- a/crates/node/src/core.rs
+++ b/crates/node/src/core.rs
@@ -47,7 +47,7 @@
         ReportOutcome::Foreign
     }
     /// Counts a request of the back end that could not be parsed.
-    fn note_unreadable_report(&mut self) {}
+    fn note_unreadable_request(&mut self) {}
     /// Handles the back end's departure notice.
     fn handle_departure(&mut self, _now: Duration, _departed: &Incarnation) {}
     /// Handles an answer of the back end's health page.
--- a/crates/node/src/counted_store.rs
+++ b/crates/node/src/counted_store.rs
@@ -22,17 +22,17 @@
         calls_refused,
         /// Calls for an entry that no longer exists, or for revisions that the store no longer has.
         calls_gone,
-        /// Reads during which the store was restored from an older copy.
+        /// Calls during which the store was restored from an older copy.
         calls_restored,
         /// Calls whose answer could not be parsed.
         calls_unreadable,
-        /// Reads of the configuration and the evacuations.
+        /// Calls that read the configuration and the evacuations.
         calls_for_operators,
-        /// Watches for a change of the configuration or the evacuations.
+        /// Calls that watch for a change of the configuration or the evacuations.
         calls_for_changes,
-        /// Reads, writes and removals of single nodes' entries.
+        /// Calls that read, write or remove a single node's entry.
         calls_for_entries,
-        /// Reads of the member lists.
+        /// Calls that read a member list.
         calls_for_lists,
     }
 }
@@ -40,8 +40,8 @@
 /// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    Operators,
-    Change,
+    OperatorState,
+    Watch,
     Entry,
     List,
 }
@@ -49,8 +49,8 @@
 impl StoreCounters {
     fn for_purpose(&mut self, purpose: Purpose) -> &mut u64 {
         match purpose {
-            Purpose::Operators => &mut self.calls_for_operators,
-            Purpose::Change => &mut self.calls_for_changes,
+            Purpose::OperatorState => &mut self.calls_for_operators,
+            Purpose::Watch => &mut self.calls_for_changes,
             Purpose::Entry => &mut self.calls_for_entries,
             Purpose::List => &mut self.calls_for_lists,
         }
@@ -80,7 +80,7 @@
 impl StoreMeter {
     fn new() -> Self {
         let call_duration =
-            Histogram::seconds("call_seconds", "Duration of calls, except watches for a change.");
+            Histogram::seconds("call_seconds", "Duration of calls, except those that watch.");
         StoreMeter { counters: Arc::default(), call_duration }
     }
 
@@ -133,7 +133,7 @@
         &self,
         consistency: Consistency,
     ) -> Result<OperatorState, StoreFailure> {
-        self.measure(Purpose::Operators, self.store.read_operator_state(consistency)).await
+        self.measure(Purpose::OperatorState, self.store.read_operator_state(consistency)).await
     }
 
     async fn wait_for_change(
@@ -142,7 +142,7 @@
         timeout: Duration,
     ) -> Result<OperatorChange, StoreFailure> {
         let outcome = self.store.wait_for_change(after, timeout).await;
-        self.meter.count(Purpose::Change, &outcome);
+        self.meter.count(Purpose::Watch, &outcome);
         outcome
     }
 
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -21,8 +21,8 @@
 const STATUS_INTERVAL: Duration = Duration::from_millis(100);
 /// A loop that has not run for this long counts as stalled.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
-/// A loop that wakes this long after its timer was not scheduled, so datagrams that it reads may
-/// have waited in the sockets.
+/// If the loop wakes this much later than its timer was set for, the process was not running, and
+/// the datagrams that it reads may have waited in the socket.
 const LATE_WAKE_THRESHOLD: Duration = Duration::from_millis(10);
 
 /// What woke the loop.
@@ -172,7 +172,7 @@
             Command::BackendReport(report, reply) => {
                 let _ = reply.send(self.core.handle_report(now, &report));
             }
-            Command::UnreadableReport => self.core.note_unreadable_report(),
+            Command::UnreadableRequest => self.core.note_unreadable_request(),
             Command::BackendDeparture(departed, reply) => {
                 self.core.handle_departure(now, &departed);
                 let _ = reply.send(());
@@ -201,9 +201,9 @@
                 Output::ReadStore => drop(self.store_reads.try_send(())),
                 // An audit that is already queued serves this request too.
                 Output::ReadMembers { is_urgent } => {
-                    let currency =
+                    let consistency =
                         if is_urgent { Consistency::Latest } else { Consistency::MayBeStale };
-                    let _ = self.audits.try_send(currency);
+                    let _ = self.audits.try_send(consistency);
                 }
                 // A rewrite that is already queued serves this auditor too.
                 Output::WriteEntry => drop(self.entry_rewrites.try_send(())),
--- a/crates/node/src/member_audit.rs
+++ b/crates/node/src/member_audit.rs
@@ -67,7 +67,7 @@
     log::info!(name = member.name.as_str(), address:% = member.address; "member_entry_removed");
     match store.remove_member(member, Some(*revision)).await {
         Ok(position) if position.era != era => Err(StoreFailure::Restored),
-        // With `Gone`, the entry was written again or no longer exists.
+        // `Gone`: the entry was written again, or no longer exists.
         Ok(_) | Err(StoreFailure::Gone) => Ok(()),
         Err(failure) => Err(failure),
     }
--- a/crates/node/src/member_list.rs
+++ b/crates/node/src/member_list.rs
@@ -31,7 +31,7 @@
 }
 
 impl Origin {
-    /// The origin of an entry that this write replaces.
+    /// Marks an entry that was just written as a replacement of a lost one.
     pub(crate) fn rewritten(self) -> Self {
         match self {
             Origin::Found => Origin::Found,
@@ -54,7 +54,7 @@
     pub(crate) store: S,
     pub(crate) member: Member,
     pub(crate) commands: mpsc::Sender<Command>,
-    /// The system is started for the first time, so that no flow exists yet.
+    /// Whether the system is started for the first time, so that no flow exists yet.
     pub(crate) is_first_start: bool,
 }
 
--- a/crates/node/src/operator_document.rs
+++ b/crates/node/src/operator_document.rs
@@ -24,7 +24,7 @@
         }
         self.position = change.position;
         let mut document = self.document()?;
-        // The revision of the change, not the position of the answer: so all watching nodes give
+        // Use the change's own revision, not that of the answer, so that all watching nodes give
         // the changed document the same version.
         document.version.position.revision = change.changed_at?;
         Some(document)
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -283,7 +283,7 @@
         RequestKind::Malformed(reason) => {
             log::warn!(reason = reason.as_str(), path = head.uri.path(); "request_malformed");
             // Only counted, so the answer does not wait if the command queue is full.
-            let _ = commands.try_send(Command::UnreadableReport);
+            let _ = commands.try_send(Command::UnreadableRequest);
             text_answer(StatusCode::BAD_REQUEST, reason)
         }
         RequestKind::Unknown => text_answer(StatusCode::NOT_FOUND, ""),
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -35,9 +35,9 @@
     pub node: Node,
     /// The settings of its role.
     pub role_settings: RoleSettings,
-    /// Address that serves readiness probes over HTTP.
+    /// Address on which the node answers readiness probes over HTTP.
     pub readiness: Option<SocketAddrV4>,
-    /// Address that serves metrics over HTTP.
+    /// Address on which the node serves its metrics over HTTP.
     pub metrics: Option<SocketAddrV4>,
     /// Address of the shared store.
     pub store: SocketAddrV4,
@@ -56,7 +56,7 @@
     pub longest_flow: Duration,
     /// Whether the system is started for the first time, so that no earlier process has run.
     pub is_first_start: bool,
-    /// Enabled mechanisms.
+    /// The enabled policies.
     pub policies: Policies,
 }
 
@@ -139,8 +139,8 @@
     let region = reader.text("region");
     let messages = reader.listener("messages");
     let readiness = reader.optional_listener("readiness");
-    // Not checked as a listener: if the address is taken, the node starts without metrics and logs
-    // a warning.
+    // Read without the check for listeners: if the address is taken, the node starts without
+    // metrics and logs a warning.
     let metrics = reader.optional_address("metrics");
     let store = reader.address("store");
     let seeds = reader.addresses("seeds");
