--- a/crates/node/src/counted_store.rs
+++ b/crates/node/src/counted_store.rs
@@ -153,9 +153,9 @@
     async fn remove_member(
         &self,
         member: &Member,
-        expected_revision: Option<u64>,
+        entry_revision: Option<u64>,
     ) -> Result<Position, StoreFailure> {
-        self.measure(Purpose::Entry, self.store.remove_member(member, expected_revision)).await
+        self.measure(Purpose::Entry, self.store.remove_member(member, entry_revision)).await
     }
 
     async fn read_member(
--- a/crates/node/src/shared_store.rs
+++ b/crates/node/src/shared_store.rs
@@ -132,7 +132,7 @@
     fn remove_member(
         &self,
         member: &Member,
-        expected_revision: Option<u64>,
+        entry_revision: Option<u64>,
     ) -> impl Future<Output = Result<Position, StoreFailure>> + Send;
 
     /// Reads the entry under a node's name; `None` if the entry cannot be parsed.
