--- a/crates/carried/src/agent/knowledge.rs
+++ b/crates/carried/src/agent/cluster_state.rs
@@ -1,14 +1,14 @@
-//! What an agent knows of the system besides its back end: nodes, configuration, the shared store.
+//! What an agent knows of the cluster: its nodes, the configuration and the shared store.
 
 use super::*;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// What this node gives to whoever asks.
+    /// The snapshot of members and configuration that this node serves to other nodes.
     pub fn snapshot(&self) -> Snapshot {
         self.standing.snapshot(|_| true)
     }
 
-    /// Takes a node's snapshot.
+    /// Adds what another node's snapshot contains.
     pub fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
         self.learn_members(now, &snapshot.members);
         if let Some(configuration) = snapshot.configuration {
@@ -16,13 +16,13 @@
         }
     }
 
-    /// Learns of nodes by hearsay.
+    /// Adds nodes that other nodes or the shared store have named.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, crate::NodeRole)]) {
         self.standing.learn(now, members);
     }
 
-    /// Puts in force what is newer of a configuration than the one in force; `true` when that says
-    /// something else.
+    /// Merges a configuration into the one in force, unless the version in force covers it already;
+    /// `true` when this changes the content.
     pub fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration) -> bool {
         let was_evacuated = self.is_evacuated();
         match self.standing.adopt(now, configuration) {
@@ -31,23 +31,25 @@
             Adoption::Changed => {
                 self.counters.configurations_adopted += 1;
                 self.may_be_cold |= was_evacuated;
-                self.tell_change(now, "configuration");
-                self.serve_line(now);
+                self.announce_condition_change(now, "configuration");
+                self.serve_wait_queue(now);
                 return true;
             }
         }
         false
     }
 
-    /// Learns whether the shared store answered a reading: all that it had is known by now.
+    /// Records whether a read of the shared store succeeded. If it did, everything that it returned
+    /// has been applied before this call.
     pub fn note_store(&mut self, now: Duration, answers: bool) {
-        let asked = self.errand_of.take();
+        let asked = self.store_read_for.take();
         if !answers {
             return;
         }
-        self.standing.store.confirm(now);
+        self.standing.store.note_confirmed(now);
         if let Some(balancer) = asked {
-            // It hears the version, and fetches it from here if it is newer.
+            // The heartbeat carries the configuration version; the balancer fetches the
+            // configuration from this agent if it is newer than its own.
             self.send_heartbeat(now, balancer, false);
         }
     }
--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -1,30 +1,32 @@
-//! Whether the back end takes new flows, and what balancers are told of it.
+//! Whether the back end takes new flows, and how the agent reports that to balancers.
 
 use super::*;
-use crate::message::FlowMemory;
+use crate::message::FlowKnowledge;
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// Has balancers hear of a condition that they were not told.
-    pub(super) fn tell_change(&mut self, now: Duration, cause: &str) {
+    /// If the condition differs from the one that balancers were notified of last, logs the change
+    /// and brings forward the next heartbeats, which carry the new one.
+    pub(super) fn announce_condition_change(&mut self, now: Duration, cause: &str) {
         let after = self.condition(now);
-        let before = std::mem::replace(&mut self.told, after);
+        let before = std::mem::replace(&mut self.announced_condition, after);
         if before != after {
             if after == BackendCondition::Ended {
-                self.goodbye_until = Some(now + GOODBYE_LASTS);
+                self.departure_notice_until = Some(now + DEPARTURE_NOTICE_DURATION);
             }
             let (from, to) = (format!("{before:?}"), format!("{after:?}"));
-            log::info!(backend = cause, from = from.as_str(), to = to.as_str(), waiting = self.waiting; "backend_changed");
-            self.standing.membership.hurry(now);
+            log::info!(backend = cause, from = from.as_str(), to = to.as_str(), waiting = self.in_flight; "backend_changed");
+            self.standing.membership.spread_news(now);
         }
     }
 
-    /// When the condition changes by itself: a silence or a rest is over.
-    pub(super) fn condition_changes_at(&self) -> Option<Duration> {
-        [self.silent_until, self.breaker.rests_until()].into_iter().flatten().min()
+    /// When the condition may change without any input: the back end no longer counts as silent, or
+    /// the open circuit breaker lets a trial request through.
+    pub(super) fn next_condition_change(&self) -> Option<Duration> {
+        [self.silent_until, self.breaker.open_until()].into_iter().flatten().min()
     }
 
     pub(super) fn condition(&self, now: Duration) -> BackendCondition {
-        if self.watch.has_ended {
+        if self.probe.has_ended {
             return BackendCondition::Ended;
         }
         if self.stopping {
@@ -42,7 +44,7 @@
         }
     }
 
-    /// Whether the zone is evacuated, as far as is known here.
+    /// Whether the zone of this agent is evacuated, as far as this agent knows.
     pub(super) fn is_evacuated(&self) -> bool {
         self.standing.is_evacuated(&self.settings.node.zone)
     }
@@ -51,49 +53,52 @@
         self.may_be_cold || self.backend.is_cold(now)
     }
 
-    /// New flows that the back end may still be given, where it is cold and a limit is told.
-    pub(super) fn cold_room(&self, now: Duration) -> Option<usize> {
+    /// How many new flows the back end may still be given now; `None` when it is warm or no limit
+    /// for cold back ends is configured.
+    pub(super) fn cold_allowance(&self, now: Duration) -> Option<usize> {
         let service = self.standing.configuration.service(self.backend.service())?;
         let may_be_cold = self.is_cold(now) || !self.backend.has_reported();
         if service.cold_flows_milli == 0 || !may_be_cold {
             return None;
         }
-        let told = f64::from(service.cold_flows_milli) / 1e3;
-        // One at least: a back end that is given nothing never becomes warm.
-        let limit = (told * self.settings.cold_overshoot).max(1.0) as usize;
-        Some(self.cold_gate.room(now, limit))
+        let configured = f64::from(service.cold_flows_milli) / 1e3;
+        // At least one: a back end that is given no flows never warms up.
+        let limit = (configured * self.settings.cold_overshoot).max(1.0) as usize;
+        Some(self.cold_rate_limit.remaining(now, limit))
     }
 
-    /// Which flows of the back end are known here.
-    fn memory(&self, now: Duration) -> FlowMemory {
-        match self.may_have_forgotten && now < self.settings.longest_flow {
-            false => FlowMemory::Whole,
-            true if self.seems_fresh => FlowMemory::Presumed,
-            true => FlowMemory::Partial,
+    /// How completely this agent knows the flows of its back end.
+    fn flow_memory(&self, now: Duration) -> FlowKnowledge {
+        match self.may_miss_flows && now < self.settings.max_flow_age {
+            false => FlowKnowledge::Complete,
+            true if self.seems_started_together => FlowKnowledge::PresumedComplete,
+            true => FlowKnowledge::Partial,
         }
     }
 
     pub(super) fn report(&self, now: Duration) -> LoadReport {
-        let is_young = now < self.settings.longest_flow;
-        let begun_at = self.begun_at.filter(|_| is_young);
+        let is_young = now < self.settings.max_flow_age;
+        let backend_started_at = self.backend_started_at.filter(|_| is_young);
         LoadReport {
             service: self.backend.service().to_owned(),
             condition: self.condition(now),
             capacity: self.backend.capacity(),
-            waiting: self.waiting.min(u32::from(u16::MAX)) as u16,
-            in_line: self.line.len().min(usize::from(u16::MAX)) as u16,
-            work_us: self.work.mean_us(),
-            measured_ms_ago: self.work.measured_ms_ago(now),
+            waiting: self.in_flight.min(u32::from(u16::MAX)) as u16,
+            queued: self.wait_queue.len().min(usize::from(u16::MAX)) as u16,
+            service_time_us: self.work_meter.mean_us(),
+            measured_ms_ago: self.work_meter.measured_ms_ago(now),
             is_cold: self.is_cold(now),
-            cold_room: self.cold_room(now).map(|room| room.min(usize::from(u16::MAX)) as u16),
-            begun_ms_ago: begun_at.map(|at| up_ms(now.saturating_sub(at))),
-            memory: self.memory(now),
-            up_ms: is_young.then(|| up_ms(now)),
+            cold_allowance: self
+                .cold_allowance(now)
+                .map(|room| room.min(usize::from(u16::MAX)) as u16),
+            backend_age_ms: backend_started_at.map(|at| message_ms(now.saturating_sub(at))),
+            flow_knowledge: self.flow_memory(now),
+            uptime_ms: is_young.then(|| message_ms(now)),
         }
     }
 }
 
-/// A time in milliseconds, as messages tell it.
-pub(super) fn up_ms(now: Duration) -> u32 {
+/// A duration in milliseconds, as messages carry it; capped at `u32::MAX`.
+pub(super) fn message_ms(now: Duration) -> u32 {
     u32::try_from(now.as_millis()).unwrap_or(u32::MAX)
 }
--- /dev/null
+++ b/crates/carried/src/agent/lookups.rs
@@ -0,0 +1,138 @@
+//! Answers lookups of flows, delivers trial packets, and resets flows that the back end has lost.
+//!
+//! A trial packet belongs to a flow that this agent does not know but its back end may hold, since
+//! an earlier process of the agent may have placed it there. How the back end reacts shows whether
+//! it holds the flow.
+//!
+//! Invariant: a caller's flow is reset only when the flow was open at this back end, as shown by
+//! what the caller's packets acknowledge, and the back end no longer holds it.
+
+use super::condition::message_ms;
+use super::*;
+use crate::message::{FlowAnswer, FlowQuery, FlowStatus};
+
+/// A live back end has sent a heartbeat by this time after its agent's start. Until then an agent
+/// that has received none answers lookups of unknown flows with [`Word::Early`].
+const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+impl<F: SegmentFormat> CarriedAgent<F> {
+    /// Answers a balancer that asks whether this back end holds certain flows.
+    pub(super) fn handle_lookup(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        questions: &[FlowQuery],
+    ) {
+        self.counters.lookups_received += questions.len() as u64;
+        let mut answer = |question: &FlowQuery| {
+            let status =
+                self.lookup_answer(now, from, &question.flow.into(), question.acknowledged);
+            FlowAnswer { flow: question.flow, status }
+        };
+        let answers = questions.iter().map(&mut answer).collect();
+        self.outputs.push_back(Output::ToPeer {
+            to: from,
+            message: Message::LookupReply { uptime_ms: message_ms(now), answers },
+        });
+    }
+
+    /// The answer about one flow, given what the packet that the balancer received acknowledges.
+    fn lookup_answer(
+        &mut self,
+        now: Duration,
+        balancer: SocketAddrV4,
+        flow: &FlowKey,
+        acknowledged: Option<u32>,
+    ) -> FlowStatus {
+        if self.probe.has_ended {
+            return FlowStatus::Absent;
+        }
+        if let Some(known) = self.flows.find(flow).and_then(|id| self.flows.get_mut(id)) {
+            return match &mut known.body {
+                // The back end has not reacted to the trial packet yet.
+                body if body.phase == Phase::OnTrial => FlowStatus::Unknown,
+                body if body.acknowledges_up_to(acknowledged) => {
+                    body.balancer = balancer;
+                    FlowStatus::Owned
+                }
+                _ => FlowStatus::Absent,
+            };
+        }
+        if !self.backend_may_hold(now, flow) {
+            return FlowStatus::Absent;
+        }
+        let is_early = !self.knows_backend() && now < FIRST_REPORT_TIMEOUT;
+        if is_early { FlowStatus::NotReady } else { FlowStatus::Unknown }
+    }
+
+    /// Passes a trial packet to the back end if this agent cannot tell whether the back end holds
+    /// the flow; otherwise answers at once.
+    pub(super) fn handle_trial(&mut self, now: Duration, from: SocketAddrV4, datagram: Vec<u8>) {
+        let Ok(segment) = self.format.parse(&datagram) else {
+            self.counters.packets_malformed += 1;
+            return;
+        };
+        let flow = segment.flow();
+        let known = self.flows.find(&flow).and_then(|id| self.flows.get(id));
+        let may_be_held = match known.map(|flow| flow.body.phase) {
+            Some(phase) => phase == Phase::OnTrial,
+            None => self.backend_may_hold(now, &flow),
+        };
+        if may_be_held && !self.probe.has_ended {
+            return self.deliver(now, from, datagram);
+        }
+        let acknowledged = segment.ack.then_some(segment.acknowledgement);
+        let word = self.lookup_answer(now, from, &flow, acknowledged);
+        self.send_lookup_answer(now, from, flow, word);
+    }
+
+    pub(super) fn send_lookup_answer(
+        &mut self,
+        now: Duration,
+        to: SocketAddrV4,
+        flow: FlowKey,
+        status: FlowStatus,
+    ) {
+        let answers = vec![FlowAnswer { flow: flow.into(), status }];
+        self.outputs.push_back(Output::ToPeer {
+            to,
+            message: Message::LookupReply { uptime_ms: message_ms(now), answers },
+        });
+    }
+
+    /// Handles a packet of a known flow after the back end's process has ended: resets the flow if
+    /// it was open, otherwise returns the packet to the balancer.
+    pub(super) fn handle_packet_after_end(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        id: FlowId,
+        segment: &Segment,
+        datagram: Vec<u8>,
+    ) {
+        let was_open = self.flows.get(id).is_some_and(|flow| flow.body.is_proven_open_by(segment));
+        self.remove(now, id);
+        match was_open {
+            true => self.reset_flow(from, segment, "backend_ended"),
+            false => self.return_to_balancer(from, datagram),
+        }
+    }
+
+    /// Sends the caller a reset of a flow that was open at the back end and is lost, and notifies
+    /// the balancer, so that the caller need not wait for a timeout.
+    pub(super) fn reset_flow(&mut self, balancer: SocketAddrV4, segment: &Segment, reason: &str) {
+        let flow = segment.flow();
+        if !self.settings.policies.is_enabled(Policy::ResetUnowned) {
+            return;
+        }
+        self.counters.flows_reset += 1;
+        log::warn!(
+            flow = flow_name(&flow).as_str(), reason, balancer:% = balancer;
+            "flow_reset"
+        );
+        let datagram = self.format.reset(segment);
+        self.outputs.push_back(Output::ToCaller { host: *flow.caller.ip(), datagram });
+        let message = Message::Ended { flow: flow.into() };
+        self.outputs.push_back(Output::ToPeer { to: balancer, message });
+    }
+}
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -1,44 +1,48 @@
-//! The agent's core: the truth about the one back end beside it and the flows that live there.
+//! The agent's core, without I/O. An agent runs on the machine of one back end and is the authority
+//! on that back end's state and flows.
 //!
 //! Invariants:
-//! - A new flow reaches the back end only while the back end accepts, is of the offer's service, and
-//!   has room within the offer's admission; whatever balancers believe decides nothing here.
-//! - An offer gets one final answer, `Placed` or `Declined`; a declined flow has never been at work.
-//! - A new flow reaches the back end only while its zone is not evacuated, as far as is known here.
-//! - A packet of a flow that does not live here goes back to the balancer as its sender wrote it.
+//! - A new flow reaches the back end only while the back end accepts flows, belongs to the offer's
+//!   service, and has room within the offer's admission. The agent's own knowledge decides, not
+//!   what the balancer assumes.
+//! - An offer gets one final answer, `Placed` or `Declined`; the back end has done no work for a
+//!   declined flow.
+//! - A new flow reaches the back end only while its zone is not evacuated, as far as the agent
+//!   knows.
+//! - A packet of a flow that the back end does not hold goes back to the balancer unchanged.
 
-mod cold_gate;
+mod backend_probe;
+mod cluster_state;
+mod cold_rate_limit;
 mod condition;
-mod finding;
 mod flow;
-mod knowledge;
-mod line;
+mod lookups;
 mod offers;
 mod outcomes;
 mod packets;
 mod phases;
 mod reports;
-mod watch;
+mod wait_queue;
 
-use self::cold_gate::ColdGate;
+use self::backend_probe::BackendProbe;
+pub use self::backend_probe::ProbeOutcome;
+use self::cold_rate_limit::ColdRateLimit;
 use self::flow::{CarriedFlow, Phase};
-use self::line::{InLine, Line};
 use self::outcomes::RequestOutcome;
-pub use self::watch::ProbeOutcome;
-use self::watch::Watch;
+use self::wait_queue::{WaitQueue, WaitingFlow};
 use crate::backend::Backend;
 use crate::breaker::{Breaker, BreakerState};
+use crate::cluster_state::{Adoption, ClusterState};
 use crate::configuration::CarriedConfiguration;
 use crate::counters::CarriedAgentCounters;
 use crate::latency::AgentLatency;
-use crate::load::WorkMeter;
+use crate::load::ServiceTimeMeter;
 use crate::membership::{Membership, Node};
 use crate::message::{Admission, BackendCondition, DeclineReason, LoadReport, Message, Snapshot};
 use crate::output::Output;
 use crate::plain_format::PlainFormat;
 use crate::policy::{Policies, Policy};
 use crate::segment::{Segment, SegmentFormat, flow_name};
-use crate::standing::{Adoption, Standing};
 use crate::version::Version;
 use loftdrift_counters::Histogram;
 use loftdrift_flow::{FlowId, FlowTable};
@@ -47,140 +51,149 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An opening packet that the back end has not answered for so long speaks for its silence.
-const OPENING_PATIENCE: Duration = Duration::from_millis(60);
-/// So many unanswered opening packets in a row, and the back end counts as silent.
-const SILENT_AFTER: u32 = 2;
-/// A silent back end is tried again after so long.
-const SILENCE_LASTS: Duration = Duration::from_millis(800);
-/// A caller that does not go on after the back end's answer has gone elsewhere.
-const HANDSHAKE_PATIENCE: Duration = Duration::from_millis(400);
-/// A request that is overdue for so long burdens the back end no more.
-const WAITING_PATIENCE: Duration = Duration::from_secs(6);
-/// A request is overdue after so many times the time that it is expected to take, ...
-const OVERDUE_TIMES: u32 = 10;
-/// ... but not before so long, ...
-const SOONEST_OVERDUE: Duration = Duration::from_millis(700);
-/// ... and never later than this.
-const LATEST_OVERDUE: Duration = Duration::from_secs(3);
-/// A flow that both ends may still speak of after its end is remembered for so long.
-const CLOSING_LASTS: Duration = Duration::from_secs(3);
-/// Offers that come so soon after a standstill waited in the socket all the while; their balancers
-/// have asked others since.
-const STALE_OFFERS: Duration = Duration::from_millis(20);
-/// A stop waits so long until balancers have heard that the back end has ended.
-const GOODBYE_LASTS: Duration = Duration::from_millis(60);
-/// Thirds of the slots that requests which are late already may take.
-const SPARE_OF_THREE: u32 = 2;
-/// Flows that are known not to live here are remembered, so that they are not tried again.
-const MOST_FOREIGN: usize = 2_048;
+/// A SYN that the back end has not answered within this time counts as unanswered.
+const SYN_ACK_TIMEOUT: Duration = Duration::from_millis(60);
+/// Consecutive unanswered SYNs after which the back end counts as silent.
+const SILENT_AFTER_SYNS: u32 = 2;
+/// How long a silent back end is given no new flows before it is tried again.
+const SILENCE_DURATION: Duration = Duration::from_millis(800);
+/// A caller that has sent no request this long after the SYN-ACK is not expected to send one soon;
+/// the flow no longer counts as occupying the back end.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(400);
+/// A request that has been overdue for this long no longer counts as occupying the back end.
+const OVERDUE_TIMEOUT: Duration = Duration::from_secs(6);
+/// A request is overdue after this many times its expected response time, ...
+const RESPONSE_TIMEOUT_FACTOR: u32 = 10;
+/// ... but not before this time, ...
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(700);
+/// ... and at the latest after this time.
+const MAX_RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long a flow is remembered after its caller has closed it, since packets of either end may
+/// still arrive.
+const CLOSING_TTL: Duration = Duration::from_secs(3);
+/// Offers that are read this soon after a stall of the process waited in the socket during it. They
+/// are ignored, since their balancers have offered the flows to other agents meanwhile.
+const STALE_OFFER_WINDOW: Duration = Duration::from_millis(20);
+/// How long a stopping agent goes on after its back end has ended, so that balancers receive the
+/// departure notice.
+const DEPARTURE_NOTICE_DURATION: Duration = Duration::from_millis(60);
+/// Thirds of the slots that may be occupied when a request that is already late is accepted.
+const SPARE_SLOT_THIRDS: u32 = 2;
+/// Maximum number of flows remembered as not held by the back end, so that they go on trial only
+/// once.
+const MAX_ABSENT_FLOWS: usize = 2_048;
 
 /// Settings of an agent of carried flows.
 #[derive(Clone, Debug)]
 pub struct CarriedAgentSettings {
-    /// The agent itself.
+    /// The agent's own address, zone and other properties as a node.
     pub node: Node,
-    /// The service of the back end beside it.
+    /// The service of the agent's back end.
     pub service: String,
-    /// Age that no flow exceeds.
-    pub longest_flow: Duration,
-    /// A cold back end is given at most so many times the new flows that the configuration tells.
+    /// Maximum age of a flow. An agent that has run for longer knows all flows of its back end.
+    pub max_flow_age: Duration,
+    /// Factor on the configured rate of new flows for a cold back end.
     pub cold_overshoot: f64,
-    /// Which mechanisms are on.
+    /// Which optional mechanisms are enabled.
     pub policies: Policies,
-    /// No process of the system has run before: the agent cannot have forgotten any flow.
+    /// The system starts for the first time: no earlier process of the agent can have placed flows.
     pub is_first_start: bool,
 }
 
-/// An agent.
+/// The agent of one back end: decides which new flows the back end takes, and tracks its flows.
 pub struct CarriedAgent<F = PlainFormat> {
     settings: CarriedAgentSettings,
     format: F,
-    standing: Standing,
+    standing: ClusterState,
     backend: Backend,
-    /// Whose heartbeat named another service last.
-    foreign_writer: Option<String>,
+    /// The sender of the last heartbeat that named another service.
+    last_foreign_sender: Option<String>,
     flows: FlowTable<CarriedFlow>,
     /// New flows that wait until the back end has room.
-    line: Line,
-    foreign: HashSet<FlowKey>,
-    foreign_order: VecDeque<FlowKey>,
-    waiting: u32,
-    /// Requests that the back end has and has not answered, overdue ones left out.
-    working: u32,
-    work: WorkMeter,
+    wait_queue: WaitQueue,
+    /// Flows that the back end has shown not to hold.
+    absent_flows: HashSet<FlowKey>,
+    /// The same flows, the oldest first.
+    absent_flows_order: VecDeque<FlowKey>,
+    /// Flows that occupy the back end: those being opened and those with an unanswered request.
+    in_flight: u32,
+    /// Requests that the back end has not answered, without overdue ones.
+    awaiting_response: u32,
+    work_meter: ServiceTimeMeter,
     breaker: Breaker,
-    cold_gate: ColdGate,
-    /// The back end may have turned cold since its last heartbeat: it was evacuated.
+    cold_rate_limit: ColdRateLimit,
+    /// The back end may have turned cold since its last heartbeat, because its zone was evacuated.
     may_be_cold: bool,
-    watch: Watch,
-    /// The back end may hold flows that an earlier process of this agent knew.
-    may_have_forgotten: bool,
-    /// The back end seems to have started beside this process.
-    seems_fresh: bool,
-    /// About when the back end started, where this process has run ever since.
-    begun_at: Option<Duration>,
-    unanswered: u32,
+    probe: BackendProbe,
+    /// The back end may hold flows that an earlier process of this agent placed and this one does
+    /// not know.
+    may_miss_flows: bool,
+    /// The back end seems to have started together with this process, as after a power failure.
+    seems_started_together: bool,
+    /// About when the back end started; `None` if unknown or before this process started.
+    backend_started_at: Option<Duration>,
+    /// Consecutive SYNs that the back end has not answered in time.
+    unanswered_syns: u32,
     silent_until: Option<Duration>,
-    /// The condition that balancers were told last.
-    told: BackendCondition,
-    /// The balancer that asked for a reading of the store last, until that was made.
-    errand_of: Option<SocketAddrV4>,
-    /// Offers before this are passed over.
-    stale_until: Duration,
+    /// The condition that balancers were notified of last.
+    announced_condition: BackendCondition,
+    /// The balancer that last asked for a delegated store read, until the read is done.
+    store_read_for: Option<SocketAddrV4>,
+    /// Offers that arrive before this time are ignored.
+    ignore_offers_until: Duration,
     stopping: bool,
-    /// Until when balancers are being told that the back end has ended; a stop waits for it.
-    goodbye_until: Option<Duration>,
+    /// Until when balancers are being notified that the back end has ended; a stop waits for it.
+    departure_notice_until: Option<Duration>,
     outputs: VecDeque<Output>,
     counters: CarriedAgentCounters,
     latency: AgentLatency,
 }
 
 impl<F: SegmentFormat> CarriedAgent<F> {
-    /// An agent that has just started and knows nothing but its settings.
+    /// Creates an agent that knows nothing but its settings.
     pub fn new(settings: CarriedAgentSettings, format: F) -> Self {
         CarriedAgent {
-            standing: Standing::new(settings.node.clone()),
+            standing: ClusterState::new(settings.node.clone()),
             backend: Backend::new(settings.service.clone()),
-            foreign_writer: None,
-            may_have_forgotten: !settings.is_first_start,
-            cold_gate: match settings.is_first_start {
-                true => ColdGate::default(),
-                false => ColdGate::after_restart(),
+            last_foreign_sender: None,
+            may_miss_flows: !settings.is_first_start,
+            cold_rate_limit: match settings.is_first_start {
+                true => ColdRateLimit::default(),
+                false => ColdRateLimit::after_restart(),
             },
             may_be_cold: false,
             settings,
-            seems_fresh: false,
-            begun_at: None,
+            seems_started_together: false,
+            backend_started_at: None,
             format,
             flows: FlowTable::default(),
-            line: Line::default(),
-            foreign: HashSet::new(),
-            foreign_order: VecDeque::new(),
-            waiting: 0,
-            working: 0,
-            work: WorkMeter::default(),
+            wait_queue: WaitQueue::default(),
+            absent_flows: HashSet::new(),
+            absent_flows_order: VecDeque::new(),
+            in_flight: 0,
+            awaiting_response: 0,
+            work_meter: ServiceTimeMeter::default(),
             breaker: Breaker::new(),
-            watch: Watch::default(),
-            unanswered: 0,
+            probe: BackendProbe::default(),
+            unanswered_syns: 0,
             silent_until: None,
-            told: BackendCondition::Unknown,
-            errand_of: None,
-            stale_until: Duration::ZERO,
+            announced_condition: BackendCondition::Unknown,
+            store_read_for: None,
+            ignore_offers_until: Duration::ZERO,
             stopping: false,
-            goodbye_until: None,
+            departure_notice_until: None,
             outputs: VecDeque::new(),
             counters: CarriedAgentCounters::default(),
             latency: AgentLatency::default(),
         }
     }
 
-    /// The next thing to do.
+    /// The next action for the embedder.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The nodes known.
+    /// The nodes that this agent knows.
     pub fn membership(&self) -> &Membership {
         &self.standing.membership
     }
@@ -190,62 +203,63 @@
         self.standing.configuration.version
     }
 
-    /// Path of the health page of the back end's service, once the configuration tells.
+    /// Path of the health check of the back end's service; `None` until a configuration defines it.
     pub fn health_path(&self) -> Option<&str> {
         let service = self.standing.configuration.service(self.backend.service())?;
         Some(&service.health_path)
     }
 
-    /// Whether the back end has sent a heartbeat, or has answered for its health.
+    /// Whether the back end has sent a heartbeat or passed a health check.
     pub fn knows_backend(&self) -> bool {
         self.backend.condition() != BackendCondition::Unknown
     }
 
-    /// Takes no new flows from now on and tells every balancer so.
+    /// Accepts no new flows from now on, and notifies balancers.
     pub fn start_draining(&mut self, now: Duration) {
         self.stopping = true;
-        self.empty_line(now, DeclineReason::NotAccepting);
-        self.hurry_watch(now);
-        self.standing.membership.hurry(now);
-        log::info!(waiting = self.waiting; "draining");
+        self.decline_all_waiting(now, DeclineReason::NotAccepting);
+        self.probe_urgently(now);
+        self.standing.membership.spread_news(now);
+        log::info!(waiting = self.in_flight; "draining");
     }
 
-    /// The process has stood still for longer than any peer waits.
+    /// Handles the end of a stall: the process has not run for longer than any peer waits.
     pub fn resume(&mut self, now: Duration) {
-        self.stale_until = now + STALE_OFFERS;
+        self.ignore_offers_until = now + STALE_OFFER_WINDOW;
         self.counters.standstills += 1;
-        self.standing.membership.hurry(now);
-        log::warn!(waiting = self.waiting; "resumed_after_standstill");
+        self.standing.membership.spread_news(now);
+        log::warn!(waiting = self.in_flight; "resumed_after_standstill");
     }
 
-    /// Whether a stop was asked for, nothing waits for an answer, and balancers were told whether the back end lives.
+    /// Whether the agent may stop: a stop was requested, no flow occupies the back end, a probe has
+    /// shown whether the back end is alive, and, if it has ended, balancers were notified.
     pub fn is_drained(&self, now: Duration) -> bool {
-        let is_told = self.goodbye_until.is_none_or(|until| now >= until);
-        self.stopping && self.waiting == 0 && !self.watch.is_open() && is_told
+        let is_announced = self.departure_notice_until.is_none_or(|until| now >= until);
+        self.stopping && self.in_flight == 0 && !self.probe.delays_stop() && is_announced
     }
 
-    /// Whether the back end's process has ended: the agent holds no flow, and none comes back.
-    pub fn has_ended(&self) -> bool {
-        self.watch.has_ended
+    /// Whether the back end's process has ended, and its flows with it.
+    pub fn backend_has_ended(&self) -> bool {
+        self.probe.has_ended
     }
 
-    /// Takes a datagram of another node.
+    /// Handles a datagram from another node.
     pub fn handle_peer(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
         match Message::decode(datagram) {
             Some(Message::Offer { number, service, admission, datagram }) => {
                 self.handle_offer(now, from, number, &service, admission, datagram);
             }
             Some(Message::Forward { datagram }) => self.deliver(now, from, datagram),
-            Some(Message::Find { questions }) => self.handle_find(now, from, &questions),
-            Some(Message::Try { datagram }) => self.handle_try(now, from, datagram),
+            Some(Message::Lookup { queries }) => self.handle_lookup(now, from, &queries),
+            Some(Message::TryForward { datagram }) => self.handle_trial(now, from, datagram),
             Some(Message::ReadStore) => {
                 self.counters.store_errands += 1;
-                self.errand_of = Some(from);
+                self.store_read_for = Some(from);
                 self.outputs.push_back(Output::ReadStore);
             }
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
             Some(Message::Heartbeat(heartbeat)) => {
-                let (is_new, fetch) = self.standing.hear(now, from, &heartbeat);
+                let (is_new, fetch) = self.standing.on_heartbeat(now, from, &heartbeat);
                 self.outputs.extend(fetch);
                 if is_new {
                     self.send_heartbeat(now, from, false);
@@ -253,7 +267,7 @@
             }
             _ => self.counters.messages_malformed += 1,
         }
-        self.serve_line(now);
+        self.serve_wait_queue(now);
     }
 
     /// When [`CarriedAgent::handle_timeout`] must be called next.
@@ -261,54 +275,54 @@
         let due = [
             self.flows.next_wake_up(),
             self.standing.membership.next_due(),
-            self.condition_changes_at(),
-            self.standing.next_end(),
-            self.next_question(),
-            self.line.next_expiry(),
+            self.next_condition_change(),
+            self.standing.next_retention_end(),
+            self.next_probe(),
+            self.wait_queue.next_expiry(),
         ];
         due.into_iter().flatten().min()
     }
 
-    /// Does what is due at `now`.
+    /// Does everything that is due at `now`.
     pub fn handle_timeout(&mut self, now: Duration) {
         while let Some(id) = self.flows.pop_due(now) {
-            self.wake(now, id);
+            self.handle_phase_timeout(now, id);
         }
-        if self.condition_changes_at().is_some_and(|at| at <= now) {
+        if self.next_condition_change().is_some_and(|at| at <= now) {
             self.silent_until = self.silent_until.filter(|until| now < *until);
-            self.breaker.wake(now);
-            self.tell_change(now, "rested");
+            self.breaker.advance(now);
+            self.announce_condition_change(now, "rested");
         }
         let was_evacuated = self.is_evacuated();
-        if self.standing.end_evacuations(now) {
+        if self.standing.expire_evacuations(now) {
             self.may_be_cold |= was_evacuated;
-            self.tell_change(now, "evacuation_lapsed");
+            self.announce_condition_change(now, "evacuation_lapsed");
         }
-        self.ask_backend(now);
-        self.serve_line(now);
+        self.probe_if_due(now);
+        self.serve_wait_queue(now);
         for (peer, wants_reply) in self.standing.membership.take_due(now) {
             self.send_heartbeat(now, peer, wants_reply);
         }
     }
 
-    /// What was measured so far.
+    /// The latencies measured so far.
     pub fn histograms(&self) -> Vec<Histogram> {
         self.latency.histograms()
     }
 
-    /// What was counted so far, with the gauges of now.
+    /// The counters so far, and the current gauges.
     pub fn counters(&self, now: Duration) -> CarriedAgentCounters {
         CarriedAgentCounters {
             flows: self.flows.busy() as u64,
-            waiting: u64::from(self.waiting),
-            in_line: self.line.len() as u64,
+            waiting: u64::from(self.in_flight),
+            in_line: self.wait_queue.len() as u64,
             peers: self.standing.membership.len() as u64,
             configuration_version: self.standing.configuration.version.number,
-            configuration_newest_heard: self.standing.newest_heard().number,
+            configuration_newest_heard: self.standing.newest_reported().number,
             configuration_revision: self.standing.configuration.version.position.revision,
-            store_era: self.standing.newest_heard().position.era,
+            store_era: self.standing.newest_reported().position.era,
             configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
-            work_microseconds: u64::from(self.work.mean_us()),
+            work_microseconds: u64::from(self.work_meter.mean_us()),
             ..self.counters
         }
     }
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -1,63 +1,67 @@
-//! Flows that this balancer does not remember: found, waited for, or told to be over.
+//! Lookups of flows that this balancer has no record of: the owning agent is found, the lookup goes
+//! on, or the caller is reset.
 //!
 //! Invariants:
-//! - A packet whose holder is not known is given to a back end only when no agent that could be
-//!   asked holds its flow, and then only beside agents that may have forgotten it.
-//! - A caller is told that its flow is over only when every agent known has said that the flow does
-//!   not live there, or has said good-bye and does not answer, or has answered nobody for very long. While any of
-//!   them may hold it, or while agents may be there that this balancer has not heard of, it waits.
+//! - A packet whose owner is not known is given to a back end only if no agent that could be asked
+//!   owns its flow, and then only to back ends of agents that may have lost their record of it.
+//! - A caller is reset only when every known agent has answered that it does not own the flow, or
+//!   has sent a departure notice and does not answer, or has answered nobody for very long. While
+//!   any of them may own the flow, or while there may be agents that this balancer does not know
+//!   yet, the caller waits.
 
 use super::*;
 use crate::lookup::{
-    FIRST_PAUSE, FIRST_TRIALS, LASTS, Lookup, MOST_TRIAL_DOUBLINGS, MOST_TRIALS, Said,
-    TRIAL_PATIENCE, WORD_PATIENCE,
+    ANSWER_TIMEOUT, AgentAnswer, INITIAL_RETRY_DELAY, INITIAL_TRIALS, LOOKUP_TIMEOUT, Lookup,
+    MAX_TRIAL_DOUBLINGS, MAX_TRIALS, TRIAL_TIMEOUT,
 };
-use crate::message::{FlowQuestion, FlowWord, MOST_FLOWS_ASKED, Word};
+use crate::message::{FlowAnswer, FlowQuery, FlowStatus, MAX_FLOWS_PER_MESSAGE};
 use crate::view::StartTime;
 
-/// Most searches under way; packets of further flows are left to their callers' repetitions.
-const MOST_LOOKUPS: usize = 4_096;
-/// A search that takes longer is told of, with who holds it up: the shortest aims are some 100 ms.
-const LONG_SEARCH: Duration = Duration::from_millis(300);
-/// Agents that a line names at most.
-const MOST_DESCRIBED: usize = 4;
-/// A caller that was told is remembered for so long.
-const TOLD_LASTS: Duration = Duration::from_secs(3);
-/// A caller that was told is told again when it repeats its packet after so long.
-const TOLD_AGAIN_AFTER: Duration = Duration::from_millis(50);
+/// Maximum number of lookups. Packets of further flows are dropped; their callers retransmit them.
+const MAX_LOOKUPS: usize = 4_096;
+/// Duration after which a lookup is logged as slow, with the agents that block its result. The
+/// shortest latency targets are about 100 ms.
+const SLOW_LOOKUP_THRESHOLD: Duration = Duration::from_millis(300);
+/// Maximum number of agents named in such a log line.
+const MAX_DESCRIBED: usize = 4;
+/// Time for which a caller that was reset is remembered.
+const RESET_TTL: Duration = Duration::from_secs(3);
+/// Minimum time after which a caller that retransmits its packet is reset again.
+const RESET_REPEAT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// A packet of a flow that this balancer does not remember; `not_at` has sent it back.
-    pub(super) fn look_up(
+    /// Handles a packet of a flow without a known owner. `returned_by` is the agent that has
+    /// returned the packet, if any.
+    pub(super) fn handle_unknown_flow(
         &mut self,
         now: Duration,
         segment: &Segment,
         datagram: &[u8],
-        not_at: Option<SocketAddrV4>,
+        returned_by: Option<SocketAddrV4>,
     ) {
         self.counters.packets_located += 1;
-        self.note_power_loss(now);
+        self.check_power_loss(now);
         let flow = segment.flow();
-        let Some(number) = self.search(now, flow, segment, datagram) else {
+        let Some(number) = self.find_or_start_lookup(now, flow, segment, datagram) else {
             self.counters.lookups_passed_over += 1;
             return;
         };
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        if let Some(agent) = not_at {
-            lookup.note(agent, Said::Absent(now));
+        if let Some(agent) = returned_by {
+            lookup.note_answer(agent, AgentAnswer::Absent(now));
         }
-        if lookup.ended_at.is_some_and(|at| now.saturating_sub(at) >= TOLD_AGAIN_AFTER) {
-            return self.tell_over(now, number);
+        if lookup.reset_at.is_some_and(|at| now.saturating_sub(at) >= RESET_REPEAT_INTERVAL) {
+            return self.reset_caller(now, number);
         }
-        if lookup.began_at.is_none() {
-            return self.begin_searches(now);
+        if lookup.started_at.is_none() {
+            return self.start_lookups(now);
         }
         self.advance_lookup(now, number);
     }
 
-    /// The search that a packet belongs to, which now holds the packet; `None` when there are too
-    /// many.
-    fn search(
+    /// Adds a packet to the lookup of its flow, which is created if needed. Returns `None` if there
+    /// are too many lookups.
+    fn find_or_start_lookup(
         &mut self,
         now: Duration,
         flow: FlowKey,
@@ -66,117 +70,118 @@
     ) -> Option<u64> {
         let known = self.lookups.number_of(&flow);
         let lookup = known.and_then(|number| self.lookups.get_mut(number));
-        if let Some(lookup) = lookup.filter(|lookup| lookup.serves(now, segment)) {
-            let was_urgent = lookup.demands_answer();
-            lookup.add(now, segment, datagram);
-            if lookup.began_at.is_none() && lookup.demands_answer() && !was_urgent {
-                self.repair.enqueue(now, known.unwrap_or_default(), true);
+        if let Some(lookup) = lookup.filter(|lookup| lookup.applies_to(now, segment)) {
+            let was_urgent = lookup.expects_answer();
+            lookup.add_packet(now, segment, datagram);
+            if lookup.started_at.is_none() && lookup.expects_answer() && !was_urgent {
+                self.lookup_limiter.enqueue(now, known.unwrap_or_default(), true);
             }
             return known;
         }
         let before = known.and_then(|number| self.finish_lookup(now, number));
-        if self.lookups.len() >= MOST_LOOKUPS {
+        if self.lookups.len() >= MAX_LOOKUPS {
             return None;
         }
         self.counters.lookups_started += 1;
         let mut lookup = Lookup::new(now, *segment, datagram);
-        if let Some(before) = before.filter(|before| before.segment.is_near(segment)) {
+        if let Some(before) = before.filter(|before| before.segment.may_share_flow(segment)) {
             lookup.trials = before.trials;
         }
-        let is_urgent = lookup.demands_answer();
+        let is_urgent = lookup.expects_answer();
         let number = self.lookups.start(now, flow, lookup);
-        self.lookups.wake_at(number, now + LASTS);
-        self.repair.enqueue(now, number, is_urgent);
+        self.lookups.wake_at(number, now + LOOKUP_TIMEOUT);
+        self.lookup_limiter.enqueue(now, number, is_urgent);
         Some(number)
     }
 
-    /// Begins searches that wait, as many as may be under way.
-    pub(super) fn begin_searches(&mut self, now: Duration) {
-        if !self.repair.is_due(now) {
+    /// Starts waiting lookups, as many as the limiter allows.
+    pub(super) fn start_lookups(&mut self, now: Duration) {
+        if !self.lookup_limiter.is_due(now) {
             return;
         }
-        while let Some(number) = self.repair.pop(now) {
+        while let Some(number) = self.lookup_limiter.pop(now) {
             let Some(lookup) = self.lookups.get_mut(number) else { continue };
             if !lookup.is_recent(now) {
                 self.finish_lookup(now, number);
                 continue;
             }
-            if lookup.began_at.is_none() {
-                lookup.began_at = Some(now);
-                lookup.next_ask = now + FIRST_PAUSE;
-                self.repair.note_begun(now, number);
+            if lookup.started_at.is_none() {
+                lookup.started_at = Some(now);
+                lookup.next_retry = now + INITIAL_RETRY_DELAY;
+                self.lookup_limiter.note_started(now, number);
                 self.advance_lookup(now, number);
             }
         }
-        self.repair.note_looked(now);
+        self.lookup_limiter.schedule_next(now);
     }
 
-    /// Ends a search.
+    /// Removes a lookup.
     pub(super) fn finish_lookup(&mut self, now: Duration, number: u64) -> Option<Lookup> {
         let lookup = self.lookups.finish(number)?;
-        if let Some(began_at) = lookup.began_at {
-            self.repair.note_settled(now, began_at, number);
+        if let Some(began_at) = lookup.started_at {
+            self.lookup_limiter.note_settled(now, began_at, number);
         }
         Some(lookup)
     }
 
-    /// Takes a search as far as it goes without another word from an agent.
+    /// Takes the next step of a lookup, if it does not wait for answers.
     fn advance_lookup(&mut self, now: Duration, number: u64) {
-        let Some(lookup) = self.lookups.get(number).filter(|lookup| lookup.began_at.is_some())
+        let Some(lookup) = self.lookups.get(number).filter(|lookup| lookup.started_at.is_some())
         else {
             return;
         };
-        if lookup.ended_at.is_some() {
-            return self.lookups.wake_at(number, now + TOLD_LASTS);
+        if lookup.reset_at.is_some() {
+            return self.lookups.wake_at(number, now + RESET_TTL);
         }
-        if let Some(until) = lookup.awaits_until(now) {
+        if let Some(until) = lookup.answers_due_at(now) {
             return self.lookups.wake_at(number, until);
         }
         let batch = self.next_batch(now, number);
         if !batch.is_empty() {
-            return self.ask(now, number, batch);
+            return self.ask_agents(now, number, batch);
         }
-        if self.try_unsure(now, number) {
+        if self.try_unsure_agents(now, number) {
             return;
         }
-        if self.nobody_holds(now, number) {
-            return self.tell_over(now, number);
+        if self.no_agent_owns(now, number) {
+            return self.reset_caller(now, number);
         }
         let Some(lookup) = self.lookups.get(number) else { return };
-        let next_ask = lookup.next_ask;
+        let next_ask = lookup.next_retry;
         self.lookups.wake_at(number, next_ask.max(now));
     }
 
-    fn ask(&mut self, now: Duration, number: u64, agents: Vec<SocketAddrV4>) {
+    fn ask_agents(&mut self, now: Duration, number: u64, agents: Vec<SocketAddrV4>) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         lookup.batches += 1;
-        let question = question(lookup);
+        let question = question_for(lookup);
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
-            lookup.note(to, Said::Asked(now));
-            self.questions.add(now, to, question);
+            lookup.note_answer(to, AgentAnswer::Asked(now));
+            self.question_batches.add(now, to, question);
         }
-        self.lookups.wake_at(number, now + WORD_PATIENCE);
+        self.lookups.wake_at(number, now + ANSWER_TIMEOUT);
     }
 
-    /// Sends the questions that have gathered, if it is time.
+    /// Sends the batched questions, if a batch is due.
     pub(super) fn send_questions(&mut self, now: Duration) {
-        for (to, questions) in self.questions.take_due(now) {
-            for part in questions.chunks(MOST_FLOWS_ASKED) {
-                let message = Message::Find { questions: part.to_vec() };
+        for (to, questions) in self.question_batches.take_due(now) {
+            for part in questions.chunks(MAX_FLOWS_PER_MESSAGE) {
+                let message = Message::Lookup { queries: part.to_vec() };
                 self.outputs.push_back(Output::ToPeer { to, message });
             }
         }
     }
 
-    /// Gives a packet to back ends whose agents may have forgotten the flow, the likeliest first;
-    /// `false` when there are none, or none may be tried.
-    fn try_unsure(&mut self, now: Duration, number: u64) -> bool {
+    /// Sends a packet on trial to back ends whose agents may have lost their record of the flow,
+    /// the likeliest owners first. Returns `false` if there are none or no further trial is
+    /// allowed.
+    fn try_unsure_agents(&mut self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let Some(datagram) = lookup.trial_packet(now).cloned() else { return false };
-        let most = match self.others_deny(now, lookup) {
-            true => FIRST_TRIALS << lookup.trial_rounds.min(MOST_TRIAL_DOUBLINGS),
-            false => MOST_TRIALS.saturating_sub(lookup.trials),
+        let most = match self.all_ruled_out_or_unsure(now, lookup) {
+            true => INITIAL_TRIALS << lookup.trial_rounds.min(MAX_TRIAL_DOUBLINGS),
+            false => MAX_TRIALS.saturating_sub(lookup.trials),
         };
         let mut unsure = self.unsure_agents(lookup);
         unsure.truncate(most);
@@ -191,57 +196,58 @@
             flow = flow_name(&lookup.segment.flow()).as_str(), agents = unsure.len(); "flow_tried"
         );
         for to in unsure {
-            lookup.note(to, Said::Tried(now));
-            let message = Message::Try { datagram: datagram.clone() };
+            lookup.note_answer(to, AgentAnswer::Tried(now));
+            let message = Message::TryForward { datagram: datagram.clone() };
             self.outputs.push_back(Output::ToPeer { to, message });
         }
-        self.lookups.wake_at(number, now + TRIAL_PATIENCE);
+        self.lookups.wake_at(number, now + TRIAL_TIMEOUT);
         true
     }
 
-    /// Tells the caller that its flow is over.
-    fn tell_over(&mut self, now: Duration, number: u64) {
+    /// Resets the caller: no agent owns its flow.
+    fn reset_caller(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         let segment = lookup.segment;
-        if !lookup.demands_answer() {
+        if !lookup.expects_answer() {
             return;
         }
-        let is_first = lookup.ended_at.replace(now).is_none();
-        let (started, began_at) = (lookup.started, lookup.began_at.unwrap_or(now));
-        lookup.take_waiting(now);
-        self.repair.note_settled(now, began_at, number);
+        let is_first = lookup.reset_at.replace(now).is_none();
+        let (started, began_at) = (lookup.created_at, lookup.started_at.unwrap_or(now));
+        lookup.take_buffered(now);
+        self.lookup_limiter.note_settled(now, began_at, number);
         let age = now.saturating_sub(started);
         if is_first {
-            self.latency.verdict.observe(age);
+            self.latency.flow_over.observe(age);
             self.counters.flows_told_over += 1;
         }
         let Some(lookup) = self.lookups.get(number) else { return };
         log::warn!(
             flow = flow_name(&segment.flow()).as_str(), reason = "nobody_holds",
-            age_ms = age.as_millis() as u64, said = self.describe_said(now, lookup).as_str(),
+            age_ms = age.as_millis() as u64, said = self.describe_answers(now, lookup).as_str(),
             configuration:% = self.standing.configuration.version; "flow_reset"
         );
         let datagram = self.format.reset(&segment);
         self.outputs.push_back(Output::ToCaller { host: *segment.source.ip(), datagram });
-        self.lookups.wake_at(number, now + TOLD_LASTS);
+        self.lookups.wake_at(number, now + RESET_TTL);
     }
 
-    /// Who said what, and how long ago; those that denied as one.
-    fn describe_said(&self, now: Duration, lookup: &Lookup) -> String {
-        let absent = lookup.all_said().filter_map(|(_, said)| match said {
-            Said::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
+    /// Describes the agents' answers for the log: the number of denials and the age of the oldest
+    /// one, and each agent that is presumed gone.
+    fn describe_answers(&self, now: Duration, lookup: &Lookup) -> String {
+        let absent = lookup.answers().filter_map(|(_, said)| match said {
+            AgentAnswer::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
             _ => None,
         });
         let (denials, oldest) =
             absent.fold((0, 0), |(count, oldest), age| (count + 1, oldest.max(age)));
-        let others = self.agents_known().filter_map(|agent| match lookup.said(&agent) {
-            Some(Said::Absent(_)) => None,
+        let others = self.known_agents().filter_map(|agent| match lookup.answer(&agent) {
+            Some(AgentAnswer::Absent(_)) => None,
             _ => Some(format!(",{}:gone", agent.ip())),
         });
         format!("absent:{denials}:{oldest}ms{}", others.collect::<String>())
     }
 
-    /// An agent holds a flow.
+    /// Handles an agent's answer that it owns a flow.
     pub(super) fn handle_held(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
         if !self.pool.note_alive(&from) {
             self.counters.answers_unexpected += 1;
@@ -251,57 +257,68 @@
         let Some(number) = self.lookups.number_of(&flow) else { return };
         let Some(mut lookup) = self.finish_lookup(now, number) else { return };
         self.counters.lookups_found += 1;
-        self.latency.lookup.observe(now.saturating_sub(lookup.started));
-        for datagram in lookup.take_waiting(now) {
+        self.latency.lookup.observe(now.saturating_sub(lookup.created_at));
+        for datagram in lookup.take_buffered(now) {
             self.counters.packets_forwarded += 1;
             let message = Message::Forward { datagram };
             self.outputs.push_back(Output::ToPeer { to: from, message });
         }
     }
 
-    /// An agent has said what it knows of flows.
+    /// Handles an agent's answers about flows.
     pub(super) fn handle_found(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
         up_ms: u32,
-        words: &[FlowWord],
+        words: &[FlowAnswer],
     ) {
-        let lost_power = self.acquaintance.lost_power(Some(StartTime::of(now, up_ms)));
+        let lost_power = self.absence_evidence.lost_power(Some(StartTime::from_uptime(now, up_ms)));
         self.pool.note_alive(&from);
-        for FlowWord { flow, word } in words {
-            match word {
-                Word::Held => self.handle_held(now, from, (*flow).into()),
-                Word::Absent => self.handle_not_here(now, from, (*flow).into(), Said::Absent(now)),
-                // It would know the flow if it had been placed since everything lost power.
-                Word::Unsure if lost_power => {
-                    self.handle_not_here(now, from, (*flow).into(), Said::Absent(now));
+        for FlowAnswer { flow, status } in words {
+            match status {
+                FlowStatus::Owned => self.handle_held(now, from, (*flow).into()),
+                FlowStatus::Absent => {
+                    self.handle_not_owned(now, from, (*flow).into(), AgentAnswer::Absent(now))
                 }
-                Word::Unsure => self.handle_not_here(now, from, (*flow).into(), Said::Unsure),
-                // It is asked again in a moment.
-                Word::Early => {}
+                // The agent has a record of every flow placed since the loss of power, and flows
+                // from before it have ended with their back ends.
+                FlowStatus::Unknown if lost_power => {
+                    self.handle_not_owned(now, from, (*flow).into(), AgentAnswer::Absent(now));
+                }
+                FlowStatus::Unknown => {
+                    self.handle_not_owned(now, from, (*flow).into(), AgentAnswer::Unsure)
+                }
+                // It has not received its back end's first report yet and is asked again soon.
+                FlowStatus::NotReady => {}
             }
         }
     }
 
-    /// An agent does not know a flow.
-    fn handle_not_here(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey, said: Said) {
+    /// Handles an agent's answer that it does not own a flow, or has no record of it.
+    fn handle_not_owned(
+        &mut self,
+        now: Duration,
+        from: SocketAddrV4,
+        flow: FlowKey,
+        said: AgentAnswer,
+    ) {
         let number = self.lookups.number_of(&flow);
         let lookup = number.and_then(|number| Some((number, self.lookups.get_mut(number)?)));
-        let Some((number, lookup)) = lookup.filter(|(_, lookup)| lookup.said(&from).is_some())
+        let Some((number, lookup)) = lookup.filter(|(_, lookup)| lookup.answer(&from).is_some())
         else {
             self.counters.answers_unexpected += 1;
             return;
         };
-        // It has a packet on trial; what becomes of that is still to come.
-        let is_tried = matches!(lookup.said(&from), Some(Said::Tried(_)));
-        if !(is_tried && said == Said::Unsure) {
-            lookup.note(from, said);
+        // The agent was sent a packet on trial; the result is still to come.
+        let is_tried = matches!(lookup.answer(&from), Some(AgentAnswer::Tried(_)));
+        if !(is_tried && said == AgentAnswer::Unsure) {
+            lookup.note_answer(from, said);
         }
         self.advance_lookup(now, number);
     }
 
-    /// An agent has told the caller that its flow is over.
+    /// Handles an agent's report that it has told the caller that its flow has ended.
     pub(super) fn handle_ended(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
         if !self.pool.note_alive(&from) {
             self.counters.answers_unexpected += 1;
@@ -320,70 +337,72 @@
             self.finish_lookup(now, number);
             return;
         }
-        if lookup.began_at.is_none() {
-            return self.lookups.wake_at(number, now + LASTS);
+        if lookup.started_at.is_none() {
+            return self.lookups.wake_at(number, now + LOOKUP_TIMEOUT);
         }
-        let is_settled = lookup.ended_at.is_some() || lookup.awaits_until(now).is_some();
-        if !is_settled && lookup.next_ask <= now && self.next_batch(now, number).is_empty() {
+        let is_settled = lookup.reset_at.is_some() || lookup.answers_due_at(now).is_some();
+        if !is_settled && lookup.next_retry <= now && self.next_batch(now, number).is_empty() {
             self.ask_again(now, number);
         }
         self.advance_lookup(now, number);
     }
 
-    /// Tells once who holds up a search whose caller waits.
-    fn report_long(&mut self, now: Duration, number: u64) {
+    /// Logs a slow lookup whose caller waits for an answer, once, with the agents that block it.
+    fn log_slow_lookup(&mut self, now: Duration, number: u64) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        let takes_long = now.saturating_sub(lookup.started) >= LONG_SEARCH;
-        if !takes_long || lookup.was_reported || !lookup.demands_answer() {
+        let takes_long = now.saturating_sub(lookup.created_at) >= SLOW_LOOKUP_THRESHOLD;
+        if !takes_long || lookup.slow_logged || !lookup.expects_answer() {
             return;
         }
-        lookup.was_reported = true;
+        lookup.slow_logged = true;
         let Some(lookup) = self.lookups.get(number) else { return };
         log::info!(
             flow = flow_name(&lookup.segment.flow()).as_str(), trials = lookup.trials,
-            agents = self.agents_known().count(),
-            held_up_by = self.describe_holding_up(now, lookup).as_str(); "search_takes_long"
+            agents = self.known_agents().count(),
+            held_up_by = self.describe_blocking(now, lookup).as_str(); "search_takes_long"
         );
     }
 
-    /// The first agents that have not denied a flow, with what is known of each.
-    fn describe_holding_up(&self, now: Duration, lookup: &Lookup) -> String {
-        let holding_up = self.agents_known().filter(|agent| !self.denies(now, lookup, agent));
+    /// Describes the first agents that may still own the flow, with the last answer of each and the
+    /// time since it was heard.
+    fn describe_blocking(&self, now: Duration, lookup: &Lookup) -> String {
+        let holding_up = self.known_agents().filter(|agent| !self.is_ruled_out(now, lookup, agent));
         let describe = |agent: SocketAddrV4| {
-            let word = match self.known_word(lookup, &agent) {
+            let word = match self.known_answer(lookup, &agent) {
                 None => "not_asked",
-                Some(Said::Asked(_)) => "silent",
-                Some(Said::Unsure) => "unsure",
-                Some(Said::Tried(_)) => "tried",
-                Some(Said::Absent(_)) => "absent",
+                Some(AgentAnswer::Asked(_)) => "silent",
+                Some(AgentAnswer::Unsure) => "unsure",
+                Some(AgentAnswer::Tried(_)) => "tried",
+                Some(AgentAnswer::Absent(_)) => "absent",
             };
             let heard = self.pool.view(&agent).map(|view| view.age(now).as_millis().to_string());
             format!("{}:{word}:{}ms", agent.ip(), heard.unwrap_or_else(|| "never".to_owned()))
         };
-        holding_up.take(MOST_DESCRIBED).map(describe).collect::<Vec<_>>().join(",")
+        holding_up.take(MAX_DESCRIBED).map(describe).collect::<Vec<_>>().join(",")
     }
 
-    /// Asks those again that have not settled the matter.
+    /// Repeats the question to agents whose answer is missing or left the ownership open.
     fn ask_again(&mut self, now: Duration, number: u64) {
-        self.report_long(now, number);
+        self.log_slow_lookup(now, number);
         let Some(lookup) = self.lookups.get_mut(number) else { return };
-        lookup.note_asked_again(now);
-        let agents = lookup.unsettled(now);
-        let question = question(lookup);
-        let silent = if self.lateness.is_late(now) { Vec::new() } else { lookup.silent() };
+        lookup.note_retry(now);
+        let agents = lookup.unresolved(now);
+        let question = question_for(lookup);
+        let silent =
+            if self.scheduling_delay.is_delayed(now) { Vec::new() } else { lookup.unanswered() };
         for (agent, asked_at) in silent {
-            self.pool.note_in_vain(&agent, asked_at);
+            self.pool.note_unanswered_query(&agent, asked_at);
         }
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
-            self.questions.add(now, to, question);
+            self.question_batches.add(now, to, question);
         }
     }
 }
 
-/// The question whether the searched flow lives at an agent.
-fn question(lookup: &Lookup) -> FlowQuestion {
-    let Segment { acknowledges, acknowledgement, .. } = lookup.segment;
-    let acknowledged = acknowledges.then_some(acknowledgement);
-    FlowQuestion { flow: lookup.segment.flow().into(), acknowledged }
+/// The question whether an agent owns the flow of a lookup.
+fn question_for(lookup: &Lookup) -> FlowQuery {
+    let Segment { ack, acknowledgement, .. } = lookup.segment;
+    let acknowledged = ack.then_some(acknowledgement);
+    FlowQuery { flow: lookup.segment.flow().into(), acknowledged }
 }
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -1,57 +1,60 @@
-//! The balancer's core: from a caller's packet to the agents that get it.
+//! The balancer's core: a state machine without I/O that assigns callers' flows to agents and
+//! forwards callers' packets to them.
 //!
 //! Invariants:
-//! - A caller is reset only when nothing of its flow has run: every agent asked has declined, or has
-//!   stayed silent for longer than a caller needs to go on.
-//! - A packet of an open flow goes only to the agent that holds it, or on trial to agents that may
-//!   have forgotten it; no choice by hash or load is made for it.
+//! - The caller of a new flow is reset only when no back end has begun to serve the flow: every
+//!   agent that was offered it has declined, or has not answered for longer than the caller would
+//!   need to send its next packet if the flow had been opened.
+//! - A packet of an open flow is forwarded only to the agent that owns the flow, or on trial to
+//!   agents that may have lost their record of it; it is never sent to an agent chosen by hash or
+//!   load.
 //! - A configuration with a lower version never replaces one with a higher version.
 
+mod admission_pause;
 mod audit;
-mod errands;
+mod delegated_reads;
 mod established;
-mod fence;
-mod knowledge;
-mod lateness;
+mod flow_absence;
+mod lookup_limiter;
 mod lookup_order;
 mod lookups;
-mod openings;
-mod questions;
+mod pending_flows;
+mod question_batches;
 mod refusals;
-mod repair;
+mod scheduling_delay;
 mod store_watch;
+mod system_state;
 mod unrouted;
-mod verdicts;
 
+use self::admission_pause::AdmissionPause;
 use self::audit::Audit;
 pub use self::audit::{ListedNode, NodeList};
-use self::errands::Errands;
-use self::fence::Fence;
-use self::lateness::Lateness;
-use self::questions::Questions;
+use self::delegated_reads::DelegatedReads;
+use self::flow_absence::AbsenceEvidence;
+use self::lookup_limiter::LookupLimiter;
+use self::question_batches::QuestionBatches;
 use self::refusals::Refusal;
-use self::repair::Repair;
+use self::scheduling_delay::SchedulingDelay;
 use self::store_watch::StoreWatch;
-use self::unrouted::Unrouted;
-use self::verdicts::Acquaintance;
+use self::unrouted::UnroutedFlows;
+use crate::cluster_state::{Adoption, ClusterState};
 use crate::configuration::{CarriedConfiguration, RoutingTable};
 use crate::counters::CarriedBalancerCounters;
 use crate::flow_cache::FlowCache;
+use crate::flow_table::FlowTable;
 use crate::latency::BalancerLatency;
 use crate::lookup::Lookup;
 use crate::membership::{Membership, Node, Peer};
 use crate::message::{
     Admission, DeclineReason, Heartbeat, LoadReport, Message, NodeRole, Snapshot,
 };
-use crate::opening::{Answer, Asked, Opening, Openings};
 use crate::output::Output;
-use crate::pending::Pending;
+use crate::pending_flow::{Offer, OfferAnswer, PendingFlow, PendingFlows};
 use crate::plain_format::PlainFormat;
 use crate::policy::{Policies, Policy};
 use crate::pool::Pool;
 use crate::rank::Ranking;
 use crate::segment::{Segment, SegmentFormat, flow_name};
-use crate::standing::{Adoption, Standing};
 use crate::version::Version;
 use crate::view::{AgentView, Distance, Location};
 use loftdrift_counters::Histogram;
@@ -62,60 +65,61 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// An agent has so long to answer an offer before the next one is asked as well.
-const OFFER_PATIENCE: Duration = Duration::from_millis(30);
-/// Time between two looks for an agent while there is none to ask.
-const SEARCH_INTERVAL: Duration = Duration::from_millis(10);
-/// Agents asked for a free slot, at most.
-const MOST_FREE_ASKED: usize = 6;
-/// Agents asked for a place in their queue, at most.
-const MOST_QUEUE_ASKED: usize = 4;
-/// The agent's word that a flow has waited in vain is here so long after.
-const LINE_GRACE: Duration = Duration::from_millis(40);
-/// Share of the aim for which a flow waits for an agent to ask.
-const SEARCH_SHARE: f64 = 0.2;
-/// Share of the aim within which an agent may still queue a request; the rest is for the ways and
-/// for requests that take longer than the mean.
+/// Time after which an unanswered offer is also made to the next agent.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(30);
+/// Time between two attempts to find an agent for a pending flow while none is available.
+const RETRY_INTERVAL: Duration = Duration::from_millis(10);
+/// Maximum number of agents that are asked for a free slot for one flow.
+const MAX_FREE_SLOT_OFFERS: usize = 6;
+/// Maximum number of agents that are asked for a place in their back end's queue for one flow.
+const MAX_QUEUE_OFFERS: usize = 4;
+/// Additional time in which the agent's message that a flow has left its wait queue without a slot
+/// arrives here.
+const WAIT_QUEUE_GRACE: Duration = Duration::from_millis(40);
+/// Share of the latency target for which a flow is retried while no agent can be offered it.
+const RETRY_SHARE: f64 = 0.2;
+/// Share of the latency target within which an agent may still queue a request. The rest is left
+/// for the network and for requests that take longer than the mean.
 const QUEUE_SHARE: f64 = 0.5;
-/// The aim of routes that tell none.
+/// Latency target of routes that set no `aim_ms`.
 const DEFAULT_AIM: Duration = Duration::from_millis(500);
-/// Rest after which a flow is forgotten, until a configuration tells.
-const DEFAULT_IDLE: Duration = Duration::from_secs(15);
+/// Idle time after which a flow is forgotten, until a configuration sets it.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Settings of a balancer of carried flows.
 #[derive(Clone, Debug)]
 pub struct CarriedBalancerSettings {
     /// The balancer itself.
     pub node: Node,
-    /// Seed of the choices left to chance.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// A configuration that was accepted is in force everywhere after this time.
+    /// Maximum time from the acceptance of a configuration until it is in force on every node.
     pub configuration_bound: Duration,
-    /// Which mechanisms are on.
+    /// Which mechanisms are enabled.
     pub policies: Policies,
 }
 
-/// A balancer.
+/// The state of one balancer.
 pub struct CarriedBalancer<F = PlainFormat> {
     format: F,
-    standing: Standing,
+    standing: ClusterState,
     routes: RoutingTable,
     pool: Pool,
     policies: Policies,
     flows: FlowCache,
-    openings: Openings,
-    /// Flows that were asked for before any configuration was known.
-    unrouted: Unrouted,
-    lookups: Pending<Lookup>,
-    questions: Questions,
-    repair: Repair,
-    acquaintance: Acquaintance,
-    errands: Errands,
+    pending_flows: PendingFlows,
+    /// New flows that arrived before any configuration was known.
+    unrouted: UnroutedFlows,
+    lookups: FlowTable<Lookup>,
+    question_batches: QuestionBatches,
+    lookup_limiter: LookupLimiter,
+    absence_evidence: AbsenceEvidence,
+    delegated_reads: DelegatedReads,
     audit: Audit,
-    fence: Fence,
-    lateness: Lateness,
-    /// Callers' packets that are taken now may have waited for so long in a socket.
-    input_waited: Duration,
+    admission_pause: AdmissionPause,
+    scheduling_delay: SchedulingDelay,
+    /// Longest time that the callers' packets handled now may have waited in a socket buffer.
+    input_age: Duration,
     store_watch: StoreWatch,
     random: ChaCha8Rng,
     draining: bool,
@@ -125,27 +129,27 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// A balancer that has just started and knows nothing but its settings.
+    /// Creates a balancer that knows nothing but its settings.
     pub fn new(settings: CarriedBalancerSettings, format: F) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         CarriedBalancer {
             format,
-            repair: Repair::new(settings.policies.has(Policy::RepairBudget)),
-            standing: Standing::new(settings.node),
+            lookup_limiter: LookupLimiter::new(settings.policies.is_enabled(Policy::RepairBudget)),
+            standing: ClusterState::new(settings.node),
             routes: RoutingTable::default(),
             pool: Pool::new(settings.policies),
             policies: settings.policies,
             flows: FlowCache::default(),
-            unrouted: Unrouted::default(),
-            openings: Openings::new(random.random()),
-            lookups: Pending::new(random.random()),
-            questions: Questions::default(),
-            acquaintance: Acquaintance::default(),
-            errands: Errands::default(),
+            unrouted: UnroutedFlows::default(),
+            pending_flows: PendingFlows::new(random.random()),
+            lookups: FlowTable::new(random.random()),
+            question_batches: QuestionBatches::default(),
+            absence_evidence: AbsenceEvidence::default(),
+            delegated_reads: DelegatedReads::default(),
             audit: Audit::default(),
-            fence: Fence::default(),
-            lateness: Lateness::default(),
-            input_waited: Duration::ZERO,
+            admission_pause: AdmissionPause::default(),
+            scheduling_delay: SchedulingDelay::default(),
+            input_age: Duration::ZERO,
             store_watch: StoreWatch::new(settings.configuration_bound),
             random,
             draining: false,
@@ -155,12 +159,12 @@
         }
     }
 
-    /// The next thing to do.
+    /// Takes the next action that the driver of this core has to carry out.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// The nodes known.
+    /// The known nodes.
     pub fn membership(&self) -> &Membership {
         &self.standing.membership
     }
@@ -170,39 +174,39 @@
         self.standing.configuration.version
     }
 
-    /// Whether callers' packets should come here.
+    /// Whether callers' packets should be routed to this balancer.
     pub fn is_ready(&self, now: Duration) -> bool {
         let interval = self.standing.membership.interval();
         !self.draining && !self.routes.is_empty() && self.pool.any_accepting(now, interval)
     }
 
-    /// Asks for no more packets; those that come are still carried.
+    /// Makes the balancer report that it is not ready; packets that still arrive are forwarded.
     pub fn start_draining(&mut self) {
         self.draining = true;
         log::info!(flows = self.flows.len(); "draining");
     }
 
     fn idle_timeout(&self) -> Duration {
-        self.standing.idle_timeout(DEFAULT_IDLE)
+        self.standing.idle_timeout(DEFAULT_IDLE_TIMEOUT)
     }
 
-    /// Learns for how long datagrams of callers that come next may have waited in a socket, as far as
-    /// its reader knows.
-    pub fn note_input_waited(&mut self, waited: Duration) {
-        self.input_waited = waited;
+    /// Sets how long the callers' datagrams that are handled next may have waited in a socket
+    /// buffer, as estimated by the reader of the socket.
+    pub fn note_input_age(&mut self, age: Duration) {
+        self.input_age = age;
     }
 
-    /// Takes a datagram of a caller.
+    /// Handles a datagram from a caller.
     pub fn handle_caller(&mut self, now: Duration, datagram: &[u8]) {
         self.counters.packets_received += 1;
         match self.format.parse(datagram) {
             Err(_) => self.counters.packets_malformed += 1,
-            Ok(segment) if segment.is_opening() => self.handle_opening(now, &segment, datagram),
+            Ok(segment) if segment.is_syn() => self.handle_syn(now, &segment, datagram),
             Ok(segment) => self.handle_established(now, &segment, datagram),
         }
     }
 
-    /// Takes a datagram of another node.
+    /// Handles a datagram from another node.
     pub fn handle_peer(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
         match Message::decode(datagram) {
             Some(Message::Placed { number, report }) => {
@@ -214,9 +218,11 @@
             Some(Message::Queued { number, report }) => {
                 self.handle_queued(now, from, number, report);
             }
-            Some(Message::Found { up_ms, words }) => self.handle_found(now, from, up_ms, &words),
+            Some(Message::LookupReply { uptime_ms, answers }) => {
+                self.handle_found(now, from, uptime_ms, &answers)
+            }
             Some(Message::Ended { flow }) => self.handle_ended(now, from, flow.into()),
-            Some(Message::NotHeld { datagram }) => self.handle_not_held(now, from, &datagram),
+            Some(Message::NotOwned { datagram }) => self.handle_not_held(now, from, &datagram),
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
             Some(Message::Heartbeat(heartbeat)) => self.handle_heartbeat(now, from, heartbeat),
             _ => self.counters.messages_malformed += 1,
@@ -224,9 +230,9 @@
     }
 
     fn handle_heartbeat(&mut self, now: Duration, from: SocketAddrV4, heartbeat: Heartbeat) {
-        let (is_new, fetch) = self.standing.hear(now, from, &heartbeat);
+        let (is_new, fetch) = self.standing.on_heartbeat(now, from, &heartbeat);
         self.outputs.extend(fetch);
-        self.compare_with_peer(now, heartbeat.configuration);
+        self.note_peer_version(now, heartbeat.configuration);
         let interval = self.standing.membership.interval();
         if let Some(view) = self.pool.view(&from).filter(|view| view.is_suspect(now, interval)) {
             log::info!(agent:% = from, away_ms = view.age(now).as_millis() as u64; "agent_back");
@@ -235,7 +241,7 @@
             self.pool.take_report(now, from, report);
             let distance = self.distance(&heartbeat.zone, &heartbeat.region);
             let Heartbeat { zone, region, .. } = heartbeat;
-            self.pool.locate(&from, Location { distance, zone, region });
+            self.pool.set_location(&from, Location { distance, zone, region });
         }
         if is_new {
             self.send_heartbeat(now, from, false);
@@ -258,84 +264,84 @@
     /// When [`CarriedBalancer::handle_timeout`] must be called next.
     pub fn next_timeout(&self) -> Option<Duration> {
         let due = [
-            self.openings.next_wake_up(),
+            self.pending_flows.next_wake_up(),
             self.lookups.next_wake_up(),
-            self.questions.next_round(),
-            self.repair.next_look(),
+            self.question_batches.next_send(),
+            self.lookup_limiter.next_start(),
             self.unrouted.next_due(),
             self.standing.membership.next_due(),
-            self.errands.next(),
+            self.delegated_reads.next(),
             self.audit.next(),
-            self.standing.next_end(),
-            Some(self.next_store_step()),
+            self.standing.next_retention_end(),
+            Some(self.next_store_action()),
         ];
         due.into_iter().flatten().min()
     }
 
-    /// Does what is due at `now`. What peers have said by then is to be taken before: an answer that
-    /// waits is not late, this process is.
+    /// Runs all timers that are due at `now`. The driver must first pass on the peers' datagrams
+    /// that have already arrived: an answer that still waits in a socket is not missing.
     pub fn handle_timeout(&mut self, now: Duration) {
-        self.note_lateness(now);
-        while let Some(number) = self.openings.pop_due(now) {
-            self.wake_opening(now, number);
+        self.note_scheduling_delay(now);
+        while let Some(number) = self.pending_flows.pop_due(now) {
+            self.wake_pending(now, number);
         }
         while let Some(number) = self.lookups.pop_due(now) {
             self.wake_lookup(now, number);
         }
-        if self.standing.end_evacuations(now) {
+        if self.standing.expire_evacuations(now) {
             self.pool.evacuate(&self.standing.evacuated());
         }
-        self.open_kept(now);
-        self.begin_searches(now);
+        self.open_unrouted(now);
+        self.start_lookups(now);
         self.send_questions(now);
         for (peer, wants_reply) in self.standing.membership.take_due(now) {
             self.send_heartbeat(now, peer, wants_reply);
         }
-        self.run_errand(now);
+        self.request_delegated_read(now);
         self.follow_store(now);
         self.flows.sweep(now);
         self.forget_agents();
     }
 
-    /// Learns how late the timer that is due is served.
-    fn note_lateness(&mut self, now: Duration) {
-        if !self.policies.has(Policy::OwnLateness) {
+    /// Records how long after its due time the earliest timer is run.
+    fn note_scheduling_delay(&mut self, now: Duration) {
+        if !self.policies.is_enabled(Policy::SchedulingDelay) {
             return;
         }
         if let Some(due) = self.next_timeout().filter(|due| *due <= now) {
-            self.lateness.note(now, due);
-            self.repair.note_lateness(now, self.lateness.get(now));
+            self.scheduling_delay.note(now, due);
+            self.lookup_limiter.note_scheduling_delay(now, self.scheduling_delay.current(now));
         }
     }
 
-    /// Forgets agents that the membership has forgotten.
+    /// Removes agents that are no longer members.
     fn forget_agents(&mut self) {
         if self.pool.len() > self.standing.membership.len() {
             let membership = &self.standing.membership;
-            self.pool.forget(|agent| membership.knows(agent));
+            self.pool.retain(|agent| membership.knows(agent));
         }
     }
 
-    /// What was measured so far.
+    /// The latency histograms.
     pub fn histograms(&self) -> Vec<Histogram> {
         self.latency.histograms()
     }
 
-    /// What was counted so far, with the gauges of now.
+    /// The counters, with gauges as of `now`.
     pub fn counters(&self, now: Duration) -> CarriedBalancerCounters {
         CarriedBalancerCounters {
             configuration_version: self.standing.configuration.version.number,
-            configuration_newest_heard: self.standing.newest_heard().number,
+            configuration_newest_heard: self.standing.newest_reported().number,
             configuration_revision: self.standing.configuration.version.position.revision,
-            store_era: self.standing.newest_heard().position.era,
+            store_era: self.standing.newest_reported().position.era,
             configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
             flows: self.flows.len() as u64,
             agents: self.pool.len() as u64,
-            lateness_milliseconds: self.lateness.get(now).as_millis() as u64,
-            lookups_waiting: self.repair.waiting() as u64,
-            lookup_window: self.repair.window(),
+            lateness_milliseconds: self.scheduling_delay.current(now).as_millis() as u64,
+            lookups_waiting: self.lookup_limiter.waiting() as u64,
+            lookup_window: self.lookup_limiter.window(),
             agents_suspect: self.pool.suspects(now, self.standing.membership.interval()) as u64,
-            store_unconfirmed_milliseconds: self.unconfirmed(now).as_millis() as u64,
+            store_unconfirmed_milliseconds: self.unconfirmed_for(now).as_millis() as u64,
             waits_at_store: u64::from(self.watches_store(now)),
             peers: self.standing.membership.len() as u64,
             ..self.counters
--- a/crates/carried/src/balancer/refusals.rs
+++ b/crates/carried/src/balancer/refusals.rs
@@ -1,7 +1,8 @@
-//! New flows that find no place: refused, or left to the copies of their opening packets.
+//! New flows that cannot be placed: the caller is reset, or the flow is dropped without a reset so
+//! that a retransmitted SYN starts over.
 
 use super::*;
-use crate::opening::Opening;
+use crate::pending_flow::PendingFlow;
 
 /// Why a new flow is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,12 +25,13 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
+    /// Resets the caller of a new flow.
     pub(super) fn refuse(
         &mut self,
         now: Duration,
         segment: &Segment,
         refusal: Refusal,
-        opening: Option<&Opening>,
+        pending: Option<&PendingFlow>,
     ) {
         match refusal {
             Refusal::NoRoute => self.counters.openings_refused_no_route += 1,
@@ -39,34 +41,36 @@
         }
         log::warn!(
             flow = flow_name(&segment.flow()).as_str(), reason = refusal.name(),
-            age_ms = opening.map_or(0, |opening| opening.age(now).as_millis() as u64),
-            service = opening.map_or("", |opening| opening.service.as_str()),
-            asked = opening.map(|opening| self.describe_asked(now, opening)).unwrap_or_default().as_str(),
+            age_ms = pending.map_or(0, |pending| pending.age(now).as_millis() as u64),
+            service = pending.map_or("", |pending| pending.service.as_str()),
+            asked = pending.map(|pending| self.describe_asked(now, pending)).unwrap_or_default().as_str(),
             configuration:% = self.standing.configuration.version; "opening_refused"
         );
         let datagram = self.format.reset(segment);
         self.outputs.push_back(Output::ToCaller { host: *segment.source.ip(), datagram });
     }
 
-    /// Leaves a flow to the copies of its opening packet.
-    pub(super) fn give_up(&mut self, now: Duration, opening: &Opening, refusal: Refusal) {
+    /// Drops a pending flow without a reset: it may have been placed, or the caller may have
+    /// retransmitted its SYN through another balancer.
+    pub(super) fn give_up(&mut self, now: Duration, pending: &PendingFlow, refusal: Refusal) {
         self.counters.openings_left_to_copies += 1;
         log::warn!(
-            flow = flow_name(&opening.flow()).as_str(), reason = refusal.name(),
-            age_ms = opening.age(now).as_millis() as u64,
-            asked = self.describe_asked(now, opening).as_str(),
+            flow = flow_name(&pending.flow()).as_str(), reason = refusal.name(),
+            age_ms = pending.age(now).as_millis() as u64,
+            asked = self.describe_asked(now, pending).as_str(),
             configuration:% = self.standing.configuration.version; "opening_left_to_copies"
         );
     }
 
-    /// The agents that an opening asked, with what each said and what was known of it.
-    pub(super) fn describe_asked(&self, now: Duration, opening: &Opening) -> String {
-        let describe = |asked: &Asked| {
+    /// Describes, for the log, the agents that were offered a flow, with the answer, last reported
+    /// load and age of that report of each.
+    pub(super) fn describe_asked(&self, now: Duration, pending: &PendingFlow) -> String {
+        let describe = |asked: &Offer| {
             let answer = match asked.answer {
-                Answer::Pending => "pending",
-                Answer::Unanswered => "unanswered",
-                Answer::Queued => "queued",
-                Answer::Declined(reason) => reason.name(),
+                OfferAnswer::Pending => "pending",
+                OfferAnswer::Unanswered => "unanswered",
+                OfferAnswer::Queued => "queued",
+                OfferAnswer::Declined(reason) => reason.name(),
             };
             let view = self.pool.view(&asked.agent);
             let load = view.map(|view| (view.report.waiting, view.report.capacity, view.age(now)));
@@ -74,6 +78,6 @@
             let age = age.as_millis();
             format!("{}:{answer}:{waiting}/{capacity}:{age}ms", asked.agent.ip())
         };
-        opening.asked.iter().map(describe).collect::<Vec<_>>().join(",")
+        pending.offers.iter().map(describe).collect::<Vec<_>>().join(",")
     }
 }
--- a/crates/carried/src/pool.rs
+++ b/crates/carried/src/pool.rs
@@ -1,47 +1,48 @@
-//! The agents that a balancer knows, and which of them to offer a new flow to.
+//! The agents known to a balancer, and the choice of the agent that a new flow is offered to.
 //!
-//! Loads are as old as the last word of an agent; what this balancer has placed there since is added
-//! to them. A wrong choice costs a decline, never a wrong placement: the agent decides.
+//! The load of an agent is as old as its last report, so the flows that this balancer has offered
+//! there since are added to it. A wrong choice costs a declined offer and never a wrong placement,
+//! because the agent decides.
 
 use crate::message::LoadReport;
 use crate::offer_budget::OfferBudget;
 use crate::policy::{Policies, Policy};
 use crate::rank::Ranking;
-use crate::view::{AgentView, Distance, Location, Typical};
+use crate::view::{AgentView, Distance, Location, ServiceAverages};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Names an agent: where it takes messages.
+/// Identifies an agent by the address at which it receives messages.
 pub(crate) type AgentId = SocketAddrV4;
 
-/// How far chance may move a cost, as a share of it.
+/// Maximum random addition to a cost, as a share of the cost.
 const NOISE_SHARE: f64 = 0.1;
-/// So many agents, the first in the flow's ranking, are compared in a larger service, and as many of
-/// the balancer's own zone: balancers that know the same do not all choose the same, and each can
-/// tell later where a flow may live.
-pub(crate) const SAMPLE: usize = 8;
+/// Number of candidates compared in a large service, taken from the top of the flow's ranking: this
+/// many of the balancer's own zone and this many of all others. Balancers with the same knowledge
+/// thus do not all choose the same agent, and each of them can tell later where a flow may be.
+pub(crate) const SAMPLE_SIZE: usize = 8;
 
 /// The agents of all services.
 #[derive(Debug, Default)]
 pub(crate) struct Pool {
     policies: Policies,
     agents: BTreeMap<AgentId, AgentView>,
-    /// Every agent stands under the service that it last named, and under no other.
+    /// Each agent is listed under the service that it reported last, and under no other.
     by_service: HashMap<String, BTreeSet<AgentId>>,
-    /// Repeated offers that flows of each service may still cost.
+    /// Budget of repeated offers of each service.
     budgets: HashMap<String, OfferBudget>,
-    /// Zones whose agents are offered nothing.
+    /// Zones whose agents get no offers.
     evacuated: BTreeSet<String>,
 }
 
 impl Pool {
-    /// No agents yet.
+    /// Creates a pool without agents.
     pub(crate) fn new(policies: Policies) -> Self {
         Pool { policies, ..Pool::default() }
     }
 
-    /// An agent's word about its load.
+    /// Records an agent's load report.
     pub(crate) fn take_report(&mut self, now: Duration, agent: AgentId, report: LoadReport) {
         let view = self.agents.entry(agent).or_insert_with(|| AgentView::new(now));
         if view.report.service != report.service {
@@ -50,18 +51,18 @@
             }
             self.by_service.entry(report.service.clone()).or_default().insert(agent);
         }
-        view.hear(now, report);
+        view.update(now, report);
     }
 
-    /// Takes where an agent is; one that has said nothing else yet is passed over.
-    pub(crate) fn locate(&mut self, agent: &AgentId, location: Location) {
+    /// Sets where an agent is; ignored for an agent that has not reported its load yet.
+    pub(crate) fn set_location(&mut self, agent: &AgentId, location: Location) {
         if let Some(view) = self.agents.get_mut(agent) {
             view.location = location;
             view.note_evacuated(&self.evacuated);
         }
     }
 
-    /// Offers nothing in these zones from now on, and something in all others.
+    /// Sets the evacuated zones: their agents get no offers, those of all other zones do.
     pub(crate) fn evacuate(&mut self, zones: &BTreeSet<String>) {
         self.evacuated.clone_from(zones);
         for view in self.agents.values_mut() {
@@ -69,68 +70,68 @@
         }
     }
 
-    /// Whether evacuations alone keep a service from taking new flows.
+    /// Whether a service takes no new flows only because zones are evacuated.
     pub(crate) fn is_evacuated(&self, service: &str) -> bool {
-        let mut is_any = false;
+        let mut any_evacuated = false;
         for (_, view) in self.of_service(service) {
-            if view.may_fail() {
+            if view.may_take_flows() {
                 return false;
             }
-            is_any |= view.is_kept_empty();
+            any_evacuated |= view.is_only_evacuated();
         }
-        is_any
+        any_evacuated
     }
 
     fn budget(&mut self, now: Duration, service: &str) -> &mut OfferBudget {
-        // One look-up where it is known, as nearly always, and no copy of the name.
+        // One lookup in the common case that the service is known, and no copy of its name.
         if !self.budgets.contains_key(service) {
             self.budgets.insert(service.to_owned(), OfferBudget::new(now));
         }
         self.budgets.get_mut(service).expect("inserted above")
     }
 
-    /// Whether flows of a service are declined so often that repeated offers are not to be had.
+    /// Whether so many flows of a service are declined that no repeated offers are available.
     pub(crate) fn is_budget_spent(&mut self, now: Duration, service: &str) -> bool {
-        self.policies.has(Policy::OfferBudget) && self.budget(now, service).is_spent(now)
+        self.policies.is_enabled(Policy::OfferBudget) && self.budget(now, service).is_exhausted(now)
     }
 
-    /// Takes what an offer of a flow costs that was offered `made` times before; `false` when it is
-    /// not to be made.
+    /// Pays for an offer of a flow that has been offered `made` times before; returns `false` if
+    /// the offer must not be made.
     pub(crate) fn take_offer(&mut self, now: Duration, service: &str, made: u32) -> bool {
-        !self.policies.has(Policy::OfferBudget) || self.budget(now, service).take(now, made)
+        !self.policies.is_enabled(Policy::OfferBudget) || self.budget(now, service).take(now, made)
     }
 
-    /// A flow of a service was placed.
+    /// Records that a flow of a service was placed.
     pub(crate) fn note_placed(&mut self, now: Duration, service: &str) {
         self.budget(now, service).note_placed();
     }
 
-    /// A flow was offered to an agent.
+    /// Records an offer to an agent.
     pub(crate) fn note_offer(&mut self, agent: &AgentId) {
         if let Some(view) = self.agents.get_mut(agent) {
             view.note_offer();
         }
     }
 
-    /// An agent did not answer an offer; `true` when that makes it suspect.
+    /// Records that an agent did not answer an offer; returns `true` if that makes it suspect.
     pub(crate) fn note_unanswered(&mut self, agent: &AgentId) -> bool {
         self.agents.get_mut(agent).is_some_and(AgentView::note_unanswered)
     }
 
-    /// An agent said something; `false` when it is not known.
+    /// Records a message from an agent; returns `false` if the agent is unknown.
     pub(crate) fn note_alive(&mut self, agent: &AgentId) -> bool {
         let view = self.agents.get_mut(agent);
         view.map(AgentView::note_alive).is_some()
     }
 
-    /// An agent has not answered a question that was asked then.
-    pub(crate) fn note_in_vain(&mut self, agent: &AgentId, asked_at: Duration) {
+    /// Records that an agent has not answered a query sent at `asked_at`.
+    pub(crate) fn note_unanswered_query(&mut self, agent: &AgentId, asked_at: Duration) {
         if let Some(view) = self.agents.get_mut(agent) {
-            view.note_in_vain(asked_at);
+            view.note_unanswered_query(asked_at);
         }
     }
 
-    pub(crate) fn forget(&mut self, keep: impl Fn(&AgentId) -> bool) {
+    pub(crate) fn retain(&mut self, keep: impl Fn(&AgentId) -> bool) {
         self.agents.retain(|agent, _| keep(agent));
         for agents in self.by_service.values_mut() {
             agents.retain(&keep);
@@ -145,24 +146,25 @@
         self.agents.len()
     }
 
-    /// Every agent with what is known of it.
+    /// Iterates over all agents.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&AgentId, &AgentView)> {
         self.agents.iter()
     }
 
-    /// Agents of a service.
+    /// Iterates over the agents of a service.
     pub(crate) fn of_service(&self, service: &str) -> impl Iterator<Item = (&AgentId, &AgentView)> {
         let agents = self.by_service.get(service).into_iter().flatten();
         agents.filter_map(|agent| self.agents.get_key_value(agent))
     }
 
-    /// Agents of a service that last said that they take new flows.
+    /// Iterates over the agents of a service whose last report says that they take new flows.
     fn accepting(&self, service: &str) -> impl Iterator<Item = (&AgentId, &AgentView)> {
         self.of_service(service).filter(|(_, view)| view.is_accepting())
     }
 
-    /// The best agent to offer a new flow of `service` to, among those that `may_ask` names.
-    /// `noise` gives numbers from 0 to 1: they break ties.
+    /// The best agent to offer a new flow of `service` to, among those that `may_ask` accepts.
+    /// `interval` is the heartbeat interval; `noise` returns random numbers from 0 to 1, which
+    /// break ties.
     pub(crate) fn best(
         &self,
         now: Duration,
@@ -172,12 +174,13 @@
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
         noise: impl FnMut() -> f64,
     ) -> Option<AgentId> {
-        let cost = |view: &AgentView, typical: &Typical| view.cost(now, typical, self.policies);
+        let cost =
+            |view: &AgentView, averages: &ServiceAverages| view.cost(now, averages, self.policies);
         self.cheapest(now, interval, service, ranking, may_ask, noise, cost)
     }
 
-    /// The agent of `service` where a flow waits for the shortest time until there is room.
-    pub(crate) fn shortest_line(
+    /// The agent of `service` in whose wait queue a flow is expected to wait for the shortest time.
+    pub(crate) fn shortest_wait_queue(
         &self,
         now: Duration,
         interval: Duration,
@@ -186,12 +189,13 @@
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
         noise: impl FnMut() -> f64,
     ) -> Option<AgentId> {
-        let cost =
-            |view: &AgentView, typical: &Typical| view.line_cost(now, typical, self.policies);
+        let cost = |view: &AgentView, averages: &ServiceAverages| {
+            view.wait_queue_cost(now, averages, self.policies)
+        };
         self.cheapest(now, interval, service, ranking, may_ask, noise, cost)
     }
 
-    /// The agent of the least cost among the first in a flow's ranking.
+    /// The agent of the lowest cost among the first in a flow's ranking.
     #[allow(clippy::too_many_arguments)]
     fn cheapest(
         &self,
@@ -201,24 +205,26 @@
         ranking: Ranking,
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
         mut noise: impl FnMut() -> f64,
-        cost: impl Fn(&AgentView, &Typical) -> f64,
+        cost: impl Fn(&AgentView, &ServiceAverages) -> f64,
     ) -> Option<AgentId> {
-        let alive = || self.accepting(service).filter(|(_, view)| !view.is_suspect(now, interval));
-        let typical = Typical::of(alive().map(|(_, view)| view));
-        let candidates = alive().filter(|(agent, view)| may_ask(agent, view));
+        let not_suspect =
+            || self.accepting(service).filter(|(_, view)| !view.is_suspect(now, interval));
+        let averages = ServiceAverages::of(not_suspect().map(|(_, view)| view));
+        let candidates = not_suspect().filter(|(agent, view)| may_ask(agent, view));
         let candidates: Vec<_> =
             candidates.map(|(agent, view)| (ranking.rank(agent), agent, view)).collect();
-        let candidates = match self.policies.has(Policy::Sample) {
+        let candidates = match self.policies.is_enabled(Policy::SampledChoice) {
             true => sample(candidates),
             false => candidates,
         };
-        let costs = candidates
-            .into_iter()
-            .map(|(_, agent, view)| (cost(view, &typical) * (1.0 + NOISE_SHARE * noise()), *agent));
+        let costs = candidates.into_iter().map(|(_, agent, view)| {
+            (cost(view, &averages) * (1.0 + NOISE_SHARE * noise()), *agent)
+        });
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, agent)| agent)
     }
 
-    /// A suspect agent of a service that last said that it takes new flows: the last resort.
+    /// The suspect agent of a service that was heard from last, among those whose last report says
+    /// that they take new flows: a last resort.
     pub(crate) fn suspect(
         &self,
         now: Duration,
@@ -229,10 +235,11 @@
         let suspects = self
             .accepting(service)
             .filter(|(agent, view)| view.is_suspect(now, interval) && may_ask(agent, view));
-        suspects.max_by_key(|(_, view)| view.heard_at()).map(|(agent, _)| *agent)
+        suspects.max_by_key(|(_, view)| view.reported_at()).map(|(agent, _)| *agent)
     }
 
-    /// An agent of a service whose back end fails what it is asked, the emptiest one.
+    /// The agent with the fewest waiting requests among those of a service that take new flows or
+    /// whose back end fails its requests.
     pub(crate) fn failing(
         &self,
         now: Duration,
@@ -241,27 +248,27 @@
         may_ask: impl Fn(&AgentId, &AgentView) -> bool,
     ) -> Option<AgentId> {
         let failing = self.of_service(service).filter(|(agent, view)| {
-            view.may_fail() && !view.is_suspect(now, interval) && may_ask(agent, view)
+            view.may_take_flows() && !view.is_suspect(now, interval) && may_ask(agent, view)
         });
         failing.min_by_key(|(_, view)| view.report.waiting).map(|(agent, _)| *agent)
     }
 
-    /// Whether agents of a service have begun to take new flows only just now.
+    /// Whether any agent of a service has begun to take new flows only recently.
     pub(crate) fn is_recovering(&self, now: Duration, service: &str) -> bool {
-        self.accepting(service).any(|(_, view)| view.has_just_come(now))
+        self.accepting(service).any(|(_, view)| view.is_newly_accepting(now))
     }
 
-    /// Whether every agent of a service that takes new flows has just said that it is full.
+    /// Whether every agent of a service that takes new flows has just reported that it is full.
     pub(crate) fn is_known_full(&self, now: Duration, interval: Duration, service: &str) -> bool {
-        let mut alive =
+        let mut not_suspect =
             self.accepting(service).filter(|(_, view)| !view.is_suspect(now, interval)).peekable();
-        alive.peek().is_some() && alive.all(|(_, view)| view.is_known_full(now))
+        not_suspect.peek().is_some() && not_suspect.all(|(_, view)| view.is_known_full(now))
     }
 
-    /// Whether any agent that was heard lately takes new flows, or would if its zone were not
-    /// evacuated: callers are refused at once then.
+    /// Whether any agent that is not suspect takes new flows, or would if its zone were not
+    /// evacuated. The latter counts as well, so that callers are refused immediately.
     pub(crate) fn any_accepting(&self, now: Duration, interval: Duration) -> bool {
-        let takes = |view: &AgentView| view.may_fail() || view.is_kept_empty();
+        let takes = |view: &AgentView| view.may_take_flows() || view.is_only_evacuated();
         self.agents.values().any(|view| takes(view) && !view.is_suspect(now, interval))
     }
 
@@ -273,19 +280,19 @@
 /// An agent with its rank for a flow.
 type Ranked<'a> = (u64, &'a AgentId, &'a AgentView);
 
-/// The first of the own zone, and the first of all others.
+/// The first candidates of the own zone and the first of all others, by rank.
 fn sample(candidates: Vec<Ranked<'_>>) -> Vec<Ranked<'_>> {
     let is_near = |(_, _, view): &Ranked<'_>| view.location.distance == Distance::SameZone;
     let (near, far): (Vec<_>, Vec<_>) = candidates.into_iter().partition(is_near);
-    let mut sample = first(near);
-    sample.extend(first(far));
+    let mut sample = first_ranked(near);
+    sample.extend(first_ranked(far));
     sample
 }
 
-fn first(mut candidates: Vec<Ranked<'_>>) -> Vec<Ranked<'_>> {
-    if candidates.len() > SAMPLE {
-        candidates.select_nth_unstable_by_key(SAMPLE - 1, |(rank, _, _)| *rank);
-        candidates.truncate(SAMPLE);
+fn first_ranked(mut candidates: Vec<Ranked<'_>>) -> Vec<Ranked<'_>> {
+    if candidates.len() > SAMPLE_SIZE {
+        candidates.select_nth_unstable_by_key(SAMPLE_SIZE - 1, |(rank, _, _)| *rank);
+        candidates.truncate(SAMPLE_SIZE);
     }
     candidates
 }
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -1,18 +1,18 @@
-//! One agent with its back end and a balancer's messages, played by hand.
+//! Test fixtures: drives one agent with its back end, or one balancer, by hand-written messages.
 #![allow(dead_code, missing_docs)]
 
 use loftdrift_carried::{
     Admission, BackendReport, CarriedAgent, CarriedAgentSettings, CarriedBalancer,
-    CarriedBalancerSettings, CarriedConfiguration, Confirmation, DeclineReason, FlowName,
-    FlowQuestion, FlowWord, Heartbeat, Incarnation, LoadReport, Message, Node, NodeRole, Output,
-    Part, PlainFormat, Policies, Position, Route, Segment, ServiceSettings, Version, Word,
+    CarriedBalancerSettings, CarriedConfiguration, Confirmation, DeclineReason, FlowAnswer,
+    FlowName, FlowQuery, FlowStatus, Heartbeat, Incarnation, LoadReport, Message, Node, NodeRole,
+    Output, PlainFormat, Policies, Position, Route, RouteTarget, Segment, ServiceSettings, Version,
 };
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 pub const SERVICE: &str = "tiles";
-/// The shortest of the users.
+/// The shortest bound on the age of a configuration that users set.
 pub const CONFIGURATION_BOUND: Duration = Duration::from_secs(3);
 
 pub fn milliseconds(count: u64) -> Duration {
@@ -51,11 +51,11 @@
 }
 
 pub fn route(address: SocketAddrV4, service: &str) -> Route {
-    let parts = vec![Part { service: service.to_owned(), weight: 1 }];
-    Route { address, parts, aim_ms: 250, priority: 1, regions: Vec::new() }
+    let targets = vec![RouteTarget { service: service.to_owned(), weight: 1 }];
+    Route { address, targets, target_latency_ms: 250, priority: 1, regions: Vec::new() }
 }
 
-/// The version of what was read at a revision of a store that has never gone back.
+/// Version read at a revision of a store that was never restored from an older copy.
 pub fn at(revision: u64) -> Version {
     Version { number: 0, position: Position { era: 1, revision } }
 }
@@ -80,7 +80,7 @@
     let settings = CarriedAgentSettings {
         node: node(agent_address(1), NodeRole::Agent),
         service: SERVICE.to_owned(),
-        longest_flow: Duration::from_secs(60),
+        max_flow_age: Duration::from_secs(60),
         cold_overshoot: 1.0,
         policies: Policies::default(),
         is_first_start,
@@ -90,7 +90,7 @@
 
 pub fn report(id: &str, sequence: u64, is_ready: bool) -> BackendReport {
     BackendReport {
-        incarnation: Incarnation::without_birth(id),
+        incarnation: Incarnation::without_start_time(id),
         service: SERVICE.to_owned(),
         capacity: 4,
         is_ready,
@@ -99,19 +99,19 @@
     }
 }
 
-/// A start that tells no birth and is gone.
-pub fn gone(id: &str) -> Incarnation {
-    Incarnation::without_birth(id)
+/// The start named in a departure notice, without a start time.
+pub fn departed(id: &str) -> Incarnation {
+    Incarnation::without_start_time(id)
 }
 
-pub fn opening(port: u16) -> Segment {
-    Segment { opens: true, sequence: 100, ..Segment::between(caller(port), service_address()) }
+pub fn syn(port: u16) -> Segment {
+    Segment { syn: true, sequence: 100, ..Segment::between(caller(port), service_address()) }
 }
 
 /// A caller's packet that acknowledges what the back end has sent up to `acknowledgement`.
 pub fn data(port: u16, sequence: u32, acknowledgement: u32) -> Segment {
     Segment {
-        acknowledges: true,
+        ack: true,
         sequence,
         acknowledgement,
         payload_bytes: 10,
@@ -120,7 +120,7 @@
 }
 
 pub fn answer(port: u16, sequence: u32) -> Segment {
-    Segment { acknowledges: true, sequence, ..Segment::between(service_address(), caller(port)) }
+    Segment { ack: true, sequence, ..Segment::between(service_address(), caller(port)) }
 }
 
 pub fn packet(segment: &Segment) -> Vec<u8> {
@@ -132,19 +132,20 @@
 }
 
 pub fn offer_to(service: &str, number: u64, port: u16, admission: Admission) -> Vec<u8> {
-    let datagram = packet(&opening(port));
+    let datagram = packet(&syn(port));
     Message::Offer { number, service: service.to_owned(), admission, datagram }.encode()
 }
 
-/// What an agent does; its age stands as 0 in its words, and a test of its own checks it.
+/// Takes an agent's outputs. The uptime in its lookup replies is set to 0; a separate test checks
+/// it.
 pub fn outputs(agent: &mut CarriedAgent) -> Vec<Output> {
-    let ageless = |output| match output {
-        Output::ToPeer { to, message: Message::Found { words, .. } } => {
-            Output::ToPeer { to, message: Message::Found { up_ms: 0, words } }
+    let without_uptime = |output| match output {
+        Output::ToPeer { to, message: Message::LookupReply { answers, .. } } => {
+            Output::ToPeer { to, message: Message::LookupReply { uptime_ms: 0, answers } }
         }
         output => output,
     };
-    std::iter::from_fn(|| agent.take_output()).map(ageless).collect()
+    std::iter::from_fn(|| agent.take_output()).map(without_uptime).collect()
 }
 
 pub fn declined(outputs: &[Output]) -> Option<DeclineReason> {
@@ -158,19 +159,20 @@
     outputs.iter().filter(|output| matches!(output, Output::ToBackend(_))).count()
 }
 
-/// Opens a flow at the agent: offered, answered by the back end with sequence number `sequence`.
+/// Opens a flow at the agent: it is offered, and the back end answers with sequence number
+/// `sequence`.
 pub fn open(agent: &mut CarriedAgent, now: Duration, port: u16, sequence: u32) {
     agent.handle_peer(now, balancer_address(), &offer(u64::from(port), port, Admission::FreeSlot));
-    let syn_ack = Segment { opens: true, ..answer(port, sequence) };
+    let syn_ack = Segment { syn: true, ..answer(port, sequence) };
     agent.handle_backend(now, packet(&syn_ack));
 }
 
-/// Has an agent tell a balancer its load.
+/// Sends a balancer the load report of an agent in zone `a`.
 pub fn tell(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
-    hear_load(balancer, now, agent_address(agent), report);
+    send_load(balancer, now, agent_address(agent), report);
 }
 
-/// Has an agent of a zone tell a balancer its load.
+/// Sends a balancer the load report of an agent in a given zone.
 pub fn tell_from_zone(
     balancer: &mut CarriedBalancer,
     now: Duration,
@@ -192,17 +194,17 @@
         configuration: at(1),
         digest: 0,
         confirmation: None,
-        store_returns: 0,
+        store_recoveries: 0,
         report: Some(report),
         wants_reply: false,
     })
 }
 
-/// What a balancer of a zone says of itself and of the store.
+/// Heartbeat of a balancer in a given zone, with its view of the store.
 pub fn heartbeat_of(
     zone: &str,
     confirmation: Option<Confirmation>,
-    store_returns: u32,
+    store_recoveries: u32,
 ) -> Heartbeat {
     Heartbeat {
         role: NodeRole::Balancer,
@@ -213,14 +215,14 @@
         configuration: at(1),
         digest: 0,
         confirmation,
-        store_returns,
+        store_recoveries,
         report: None,
         wants_reply: false,
     }
 }
 
-/// Has the agent at an address tell a balancer its load.
-pub fn hear_load(
+/// Sends a balancer the load report of the agent at an address, in zone `a`.
+pub fn send_load(
     balancer: &mut CarriedBalancer,
     now: Duration,
     agent: SocketAddrV4,
@@ -254,7 +256,7 @@
     }
 }
 
-/// A balancer that knows nobody and has a route to [`SERVICE`].
+/// A balancer that knows no other node and has a route to [`SERVICE`].
 pub fn new_balancer(seed: u64) -> CarriedBalancer {
     let mut balancer = CarriedBalancer::new(balancer_settings(seed), PlainFormat);
     balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
@@ -266,46 +268,49 @@
     FlowName { caller: caller(port), service: service_address() }
 }
 
-/// The question whether a flow lives at an agent.
-pub fn find(port: u16, acknowledged: u32) -> Vec<u8> {
+/// Lookup message that asks whether an agent owns a flow.
+pub fn lookup(port: u16, acknowledged: u32) -> Vec<u8> {
     let acknowledged = Some(acknowledged);
-    let questions = vec![FlowQuestion { flow: flow_named(port), acknowledged }];
-    Message::Find { questions }.encode()
+    let queries = vec![FlowQuery { flow: flow_named(port), acknowledged }];
+    Message::Lookup { queries }.encode()
 }
 
 pub fn to_balancer(message: Message) -> Output {
     Output::ToPeer { to: balancer_address(), message }
 }
 
-/// An agent's word about a flow.
-pub fn found(port: u16, word: Word) -> Message {
-    Message::Found { up_ms: 0, words: vec![FlowWord { flow: flow_named(port), word }] }
+/// An agent's lookup reply about one flow.
+pub fn reply(port: u16, status: FlowStatus) -> Message {
+    Message::LookupReply {
+        uptime_ms: 0,
+        answers: vec![FlowAnswer { flow: flow_named(port), status }],
+    }
 }
 
-/// An agent's word about a flow, as it goes out.
-pub fn says(port: u16, word: Word) -> Output {
-    to_balancer(found(port, word))
+/// Output that sends a balancer an agent's lookup reply about one flow.
+pub fn replies(port: u16, status: FlowStatus) -> Output {
+    to_balancer(reply(port, status))
 }
 
-/// Agents that are asked whether a flow lives there.
+/// The agents that are asked whether they own a flow.
 pub fn asked(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let asked = outputs.iter().filter_map(|output| match output {
-        Output::ToPeer { to, message: Message::Find { .. } } => Some(*to),
+        Output::ToPeer { to, message: Message::Lookup { .. } } => Some(*to),
         _ => None,
     });
     asked.collect()
 }
 
-/// Agents whose back end is to tell.
+/// The agents that get a packet on trial, for their back ends to decide whose flow it is.
 pub fn tried(outputs: &[Output]) -> Vec<SocketAddrV4> {
     let tried = outputs.iter().filter_map(|output| match output {
-        Output::ToPeer { to, message: Message::Try { .. } } => Some(*to),
+        Output::ToPeer { to, message: Message::TryForward { .. } } => Some(*to),
         _ => None,
     });
     tried.collect()
 }
 
-/// Callers that are told that their flow is over.
+/// Number of callers that are reset.
 pub fn resets(outputs: &[Output]) -> usize {
     outputs.iter().filter(|output| matches!(output, Output::ToCaller { .. })).count()
 }
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -26,7 +26,7 @@
             let settings = CarriedAgentSettings {
                 node: me,
                 service: self.backends[node - settings.balancers].service.to_owned(),
-                longest_flow: LONGEST_FLOW,
+                max_flow_age: LONGEST_FLOW,
                 cold_overshoot: 1.0,
                 policies,
                 is_first_start: starts == 1,
@@ -70,7 +70,7 @@
     /// Tells a balancer for how long what it takes next may have waited.
     pub(super) fn note_waited(&mut self, node: usize, waited: Duration) {
         if let Some(balancer) = self.nodes[node].balancer() {
-            balancer.note_input_waited(waited);
+            balancer.note_input_age(waited);
         }
     }
 
--- a/crates/node/src/counted_store.rs
+++ b/crates/node/src/counted_store.rs
@@ -1,7 +1,7 @@
-//! Counts what calls to the shared store are for and come to, and how long they take.
+//! Counts calls to the shared store by purpose and outcome, and measures their duration.
 
 use crate::shared_store::{
-    Currency, Member, MemberList, OperatorChange, OperatorState, SharedStore, StoreFailure,
+    Consistency, Member, MemberList, OperatorChange, OperatorState, SharedStore, StoreFailure,
 };
 use loftdrift_carried::{NodeRole, Position};
 use loftdrift_counters::{CounterSet, Histogram, PublishedSet, counter_set};
@@ -16,47 +16,47 @@
         calls_answered,
         /// Calls without an answer; they may have taken effect.
         calls_unanswered,
-        /// Calls refused because there were too many.
+        /// Calls refused by the store's rate limit.
         calls_throttled,
-        /// Calls refused for now.
+        /// Calls refused because the store was temporarily unavailable.
         calls_refused,
-        /// Calls for something that is gone: an entry, a history.
+        /// Calls for an entry that no longer exists, or for revisions that the store no longer has.
         calls_gone,
-        /// Readings during which the store came back from an older copy.
+        /// Calls during which the store was restored from an older copy.
         calls_restored,
-        /// Calls whose answer could not be read.
+        /// Calls whose answer could not be parsed.
         calls_unreadable,
-        /// Readings of what operators have written.
+        /// Calls that read the configuration and the evacuations.
         calls_for_operators,
-        /// Waits for a change of that.
+        /// Calls that watch for a change of the configuration or the evacuations.
         calls_for_changes,
-        /// Readings, writings and removals of nodes' entries.
+        /// Calls that read, write or remove a single node's entry.
         calls_for_entries,
-        /// Readings of the lists of nodes.
+        /// Calls that read a member list.
         calls_for_lists,
     }
 }
 
-/// What a call is for.
+/// The purpose of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Purpose {
-    Operators,
-    Change,
+    OperatorState,
+    Watch,
     Entry,
     List,
 }
 
 impl StoreCounters {
-    fn of_purpose(&mut self, purpose: Purpose) -> &mut u64 {
+    fn for_purpose(&mut self, purpose: Purpose) -> &mut u64 {
         match purpose {
-            Purpose::Operators => &mut self.calls_for_operators,
-            Purpose::Change => &mut self.calls_for_changes,
+            Purpose::OperatorState => &mut self.calls_for_operators,
+            Purpose::Watch => &mut self.calls_for_changes,
             Purpose::Entry => &mut self.calls_for_entries,
             Purpose::List => &mut self.calls_for_lists,
         }
     }
 
-    fn of_outcome<T>(&mut self, outcome: &Result<T, StoreFailure>) -> &mut u64 {
+    fn for_outcome<T>(&mut self, outcome: &Result<T, StoreFailure>) -> &mut u64 {
         match outcome {
             Ok(_) => &mut self.calls_answered,
             Err(StoreFailure::NoAnswer(_)) => &mut self.calls_unanswered,
@@ -69,36 +69,37 @@
     }
 }
 
-/// What was counted of all calls of one process. Clones share it.
+/// Metrics of all store calls of one process. Clones share the same counters.
 #[derive(Clone, Debug)]
 pub(crate) struct StoreMeter {
     counters: Arc<Mutex<StoreCounters>>,
-    /// Calls that wait for a change are not among them.
-    took: Histogram,
+    /// Excludes calls that watch for a change.
+    call_duration: Histogram,
 }
 
 impl StoreMeter {
     fn new() -> Self {
-        let took = Histogram::seconds("call_seconds", "Time of a call that waits for no change.");
-        StoreMeter { counters: Arc::default(), took }
+        let call_duration =
+            Histogram::seconds("call_seconds", "Duration of calls, except those that watch.");
+        StoreMeter { counters: Arc::default(), call_duration }
     }
 
-    /// The metrics of the store.
+    /// The metrics to publish.
     pub(crate) fn publish(&self) -> PublishedSet {
-        // Counts are good enough after a panic elsewhere.
+        // Counters stay usable after another thread has panicked with the lock held.
         let counters = *self.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        let histograms = vec![self.took.clone()];
+        let histograms = vec![self.call_duration.clone()];
         PublishedSet { role: "store", samples: counters.samples(), histograms }
     }
 
     fn count<T>(&self, purpose: Purpose, outcome: &Result<T, StoreFailure>) {
         let mut counters = self.counters.lock().unwrap_or_else(PoisonError::into_inner);
-        *counters.of_purpose(purpose) += 1;
-        *counters.of_outcome(outcome) += 1;
+        *counters.for_purpose(purpose) += 1;
+        *counters.for_outcome(outcome) += 1;
     }
 }
 
-/// A store with its calls counted.
+/// Wraps a store and counts its calls.
 #[derive(Clone, Debug)]
 pub(crate) struct CountedStore<S> {
     store: S,
@@ -114,59 +115,62 @@
         self.meter.clone()
     }
 
-    async fn timed<T>(
+    async fn measure<T>(
         &self,
         purpose: Purpose,
         call: impl Future<Output = Result<T, StoreFailure>> + Send,
     ) -> Result<T, StoreFailure> {
         let started = Instant::now();
         let outcome = call.await;
-        self.meter.took.observe(started.elapsed());
+        self.meter.call_duration.observe(started.elapsed());
         self.meter.count(purpose, &outcome);
         outcome
     }
 }
 
 impl<S: SharedStore> SharedStore for CountedStore<S> {
-    async fn read_operators(&self, currency: Currency) -> Result<OperatorState, StoreFailure> {
-        self.timed(Purpose::Operators, self.store.read_operators(currency)).await
+    async fn read_operator_state(
+        &self,
+        consistency: Consistency,
+    ) -> Result<OperatorState, StoreFailure> {
+        self.measure(Purpose::OperatorState, self.store.read_operator_state(consistency)).await
     }
 
-    async fn wait_operators(
+    async fn wait_for_change(
         &self,
         after: Position,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<OperatorChange, StoreFailure> {
-        let outcome = self.store.wait_operators(after, patience).await;
-        self.meter.count(Purpose::Change, &outcome);
+        let outcome = self.store.wait_for_change(after, timeout).await;
+        self.meter.count(Purpose::Watch, &outcome);
         outcome
     }
 
     async fn write_member(&self, member: &Member) -> Result<Position, StoreFailure> {
-        self.timed(Purpose::Entry, self.store.write_member(member)).await
+        self.measure(Purpose::Entry, self.store.write_member(member)).await
     }
 
     async fn remove_member(
         &self,
         member: &Member,
-        written_at: Option<u64>,
+        entry_revision: Option<u64>,
     ) -> Result<Position, StoreFailure> {
-        self.timed(Purpose::Entry, self.store.remove_member(member, written_at)).await
+        self.measure(Purpose::Entry, self.store.remove_member(member, entry_revision)).await
     }
 
     async fn read_member(
         &self,
         member: &Member,
-        currency: Currency,
+        consistency: Consistency,
     ) -> Result<Option<Member>, StoreFailure> {
-        self.timed(Purpose::Entry, self.store.read_member(member, currency)).await
+        self.measure(Purpose::Entry, self.store.read_member(member, consistency)).await
     }
 
     async fn read_members(
         &self,
         role: NodeRole,
-        currency: Currency,
+        consistency: Consistency,
     ) -> Result<MemberList, StoreFailure> {
-        self.timed(Purpose::List, self.store.read_members(role, currency)).await
+        self.measure(Purpose::List, self.store.read_members(role, consistency)).await
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,43 +1,44 @@
-//! Thin shells around the cores of carried flows: sockets, timers, signals, the shared store.
+//! Runs the I/O-free cores of `loftdrift_carried` as processes: sockets, timers, signals and the
+//! shared store.
 //!
-//! One task owns the core with its two UDP sockets; the others speak with it by [`Command`]s and
-//! read its [`NodeStatus`]. What outside systems speak is told by three traits that an adapter
-//! implements: [`SegmentFormat`](loftdrift_carried::SegmentFormat), [`Interface`] and
-//! [`SharedStore`].
+//! One task, the driver, owns the core and its two UDP sockets. Other tasks send it [`Command`]s
+//! and read the [`NodeStatus`] that it publishes. The formats and protocols of outside systems are
+//! behind three traits that an adapter implements:
+//! [`SegmentFormat`](loftdrift_carried::SegmentFormat), [`RequestDecoder`] and [`SharedStore`].
 
 mod agent_core;
-mod allowance;
+mod backoff;
 mod balancer_core;
 mod command;
 mod configuration_follower;
 mod core;
 mod counted_store;
+mod driver;
 mod health;
-mod interface;
 mod member_audit;
 mod member_list;
 mod metrics;
 mod operator_document;
-mod pace;
 mod probe;
 mod registration;
-mod reloading;
+mod request_decoder;
 mod run;
 mod settings;
+mod settings_check;
 mod shared_store;
-mod shell;
+mod shutdown;
+mod snapshot_budget;
 mod snapshots;
-mod stopping;
 mod store_reader;
 
-pub use allowance::Allowance;
-pub use command::{Command, Measures, MemberNews, NodeStatus};
-pub use configuration_follower::Follower;
-pub use interface::{Interface, Request, RequestKind};
-pub use member_audit::audit as audit_members;
+pub use command::{Command, CoreMetrics, MemberUpdate, NodeStatus};
+pub use configuration_follower::ConfigurationFollower;
+pub use member_audit::run as audit_members;
+pub use request_decoder::{Request, RequestDecoder, RequestKind};
 pub use run::run;
-pub use settings::{AgentPlace, BalancerPlace, NodeSettings, Place};
+pub use settings::{AgentSettings, BalancerSettings, NodeSettings, RoleSettings};
 pub use shared_store::{
-    Currency, Member, MemberEntry, MemberList, OperatorChange, OperatorState, SharedStore,
+    Consistency, Member, MemberEntry, MemberList, OperatorChange, OperatorState, SharedStore,
     StoreFailure,
 };
+pub use snapshot_budget::SnapshotBudget;
--- a/crates/node/src/member_list.rs
+++ b/crates/node/src/member_list.rs
@@ -1,126 +1,130 @@
-//! Learns the other nodes from the shared store's list.
+//! Learns the other nodes from the shared store's member list.
 //!
-//! A list counts as whole only when it is no older than the own entry: of two nodes that start together at
-//! least one then learns of the other, and tells it.
+//! A list counts as complete only if it is at least as new as this node's own entry. Of two nodes
+//! that start at the same time, at least one then learns of the other and contacts it.
 
-use crate::command::{Command, MemberNews};
-use crate::pace::Pace;
-use crate::shared_store::{Currency, Member, MemberList, SharedStore, StoreFailure};
+use crate::backoff::Backoff;
+use crate::command::{Command, MemberUpdate};
+use crate::shared_store::{Consistency, Member, MemberList, SharedStore, StoreFailure};
 use loftdrift_carried::{NodeRole, Position};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Pauses between readings of lists that may be old, until they have the own entry: such lists are
-/// two to three seconds old.
-const OLD_LIST_PAUSES: [Duration; 2] = [Duration::from_millis(1_500), Duration::from_millis(3_500)];
-/// First pause after a failure, a few times what the store takes to answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Delays before a possibly stale list is read again because it does not include this node's entry
+/// yet. Stale lists are two to three seconds old.
+const STALE_LIST_RETRY_DELAYS: [Duration; 2] =
+    [Duration::from_millis(1_500), Duration::from_millis(3_500)];
+/// A few times the store's usual response time.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How a node came to stand in the list.
+/// How this node's entry got into the member list.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Entered {
-    /// An earlier process has left the entry.
-    Before,
-    /// Written there for the first time.
-    At(Position),
-    /// Written there again, the store having lost it: an old list may show the one before.
-    Again(Position),
+pub(crate) enum Origin {
+    /// An earlier process of this node wrote the entry.
+    Found,
+    /// This process wrote the entry, at this position.
+    Written(Position),
+    /// This process wrote the entry again because the store had lost it. A stale list may still
+    /// show the earlier entry.
+    Rewritten(Position),
 }
 
-impl Entered {
-    /// The same entry, written once more.
-    pub(crate) fn again(self) -> Self {
+impl Origin {
+    /// Marks an entry that was just written as a replacement of a lost one.
+    pub(crate) fn rewritten(self) -> Self {
         match self {
-            Entered::Before => Entered::Before,
-            Entered::At(position) | Entered::Again(position) => Entered::Again(position),
+            Origin::Found => Origin::Found,
+            Origin::Written(position) | Origin::Rewritten(position) => Origin::Rewritten(position),
         }
     }
 
-    /// The era of the store in which this process has written the entry.
+    /// The era of the store in which this process wrote the entry.
     pub(crate) fn era(self) -> Option<u64> {
         match self {
-            Entered::Before => None,
-            Entered::At(position) | Entered::Again(position) => Some(position.era),
+            Origin::Found => None,
+            Origin::Written(position) | Origin::Rewritten(position) => Some(position.era),
         }
     }
 }
 
-/// Reads the lists of those that a node speaks with.
+/// Reads the member lists of the roles with which this node exchanges messages.
 #[derive(Clone, Debug)]
-pub(crate) struct ListReader<S> {
+pub(crate) struct MemberListReader<S> {
     pub(crate) store: S,
     pub(crate) member: Member,
     pub(crate) commands: mpsc::Sender<Command>,
-    /// No process of the system has run before: there is no flow.
+    /// Whether the system is started for the first time, so that no flow exists yet.
     pub(crate) is_first_start: bool,
 }
 
-impl<S: SharedStore> ListReader<S> {
-    /// Reads lists until they name every node that was entered before this one, however often that
-    /// takes.
-    pub(crate) async fn read_until_whole(&self, entered: Entered) {
-        let mut pace = Pace::new(FIRST_PAUSE, LONGEST_PAUSE);
-        // The store's failures are told by whoever waits there, and counted.
-        while self.read_whole(entered).await.is_err() && !self.commands.is_closed() {
-            pace.pause().await;
+impl<S: SharedStore> MemberListReader<S> {
+    /// Reads the lists, with retries, until they name every node that registered before this one.
+    pub(crate) async fn read_until_complete(&self, origin: Origin) {
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
+        // Failures are counted by `CountedStore` and logged by the tasks that watch or write.
+        while self.read_complete(origin).await.is_err() && !self.commands.is_closed() {
+            backoff.wait().await;
         }
     }
 
-    /// Reads lists as they are, old or not.
+    /// Reads the lists once, accepting stale ones.
     pub(crate) async fn read_any(&self) -> Result<(), StoreFailure> {
-        self.read(Currency::MayBeOld, None).await.map(drop)
+        self.read(Consistency::MayBeStale, None).await.map(drop)
     }
 
-    async fn read_whole(&self, entered: Entered) -> Result<(), StoreFailure> {
-        let entered_at = match entered {
-            // An agent decides nothing by who it does not know.
-            Entered::Before if self.member.role == NodeRole::Agent => return self.read_any().await,
-            Entered::Again(_) => return self.read(Currency::Newest, None).await.map(drop),
-            Entered::Before => None,
-            Entered::At(position) => Some(position),
+    async fn read_complete(&self, origin: Origin) -> Result<(), StoreFailure> {
+        let written_at = match origin {
+            // No decision of an agent depends on knowing every balancer.
+            Origin::Found if self.member.role == NodeRole::Agent => return self.read_any().await,
+            Origin::Rewritten(_) => return self.read(Consistency::Latest, None).await.map(drop),
+            Origin::Found => None,
+            Origin::Written(position) => Some(position),
         };
-        // Until a balancer has the whole list it tells no caller that nobody holds a flow: only
-        // where there are no flows of before may that take seconds.
-        let may_wait = self.is_first_start || self.member.role == NodeRole::Agent;
-        let mut is_whole = self.read(Currency::MayBeOld, entered_at).await?;
-        let pauses: &[Duration] = if may_wait { &OLD_LIST_PAUSES } else { &[] };
-        for pause in pauses {
-            if is_whole {
+        // Until a balancer has the complete list, it never reports to a caller that no agent owns
+        // its flow. That may take seconds only where no earlier flows can exist.
+        let may_retry_stale = self.is_first_start || self.member.role == NodeRole::Agent;
+        let mut is_complete = self.read(Consistency::MayBeStale, written_at).await?;
+        let retry_delays: &[Duration] =
+            if may_retry_stale { &STALE_LIST_RETRY_DELAYS } else { &[] };
+        for delay in retry_delays {
+            if is_complete {
                 return Ok(());
             }
-            tokio::time::sleep(*pause).await;
-            is_whole = self.read(Currency::MayBeOld, entered_at).await?;
+            tokio::time::sleep(*delay).await;
+            is_complete = self.read(Consistency::MayBeStale, written_at).await?;
         }
-        if !is_whole {
-            self.read(Currency::Newest, None).await?;
+        if !is_complete {
+            self.read(Consistency::Latest, None).await?;
         }
         Ok(())
     }
 
-    /// Reads the lists; `true` when they are whole.
+    /// Reads the lists; returns whether they are complete.
     async fn read(
         &self,
-        currency: Currency,
-        entered_at: Option<Position>,
+        consistency: Consistency,
+        written_at: Option<Position>,
     ) -> Result<bool, StoreFailure> {
-        let mut lists = vec![self.store.read_members(NodeRole::Balancer, currency).await?];
-        // Agents have nothing to say to each other.
+        let mut lists = vec![self.store.read_members(NodeRole::Balancer, consistency).await?];
+        // Agents do not exchange messages with each other.
         if self.member.role == NodeRole::Balancer {
-            lists.push(self.store.read_members(NodeRole::Agent, currency).await?);
+            lists.push(self.store.read_members(NodeRole::Agent, consistency).await?);
         }
-        let has_own = entered_at.is_some_and(|at| lists.iter().all(|list| has_all_up_to(list, at)));
-        let is_whole = currency == Currency::Newest || has_own;
+        let includes_own =
+            written_at.is_some_and(|at| lists.iter().all(|list| includes_all_until(list, at)));
+        let is_complete = consistency == Consistency::Latest || includes_own;
         let entries = lists.iter().flat_map(|list| &list.entries);
         let members = entries.map(|entry| (entry.member.address, entry.member.role)).collect();
-        // Nobody listens only while the process ends.
-        let _ = self.commands.send(Command::Learn(MemberNews { members, is_whole })).await;
-        Ok(is_whole)
+        // Sending fails only while the process ends.
+        let _ =
+            self.commands.send(Command::LearnMembers(MemberUpdate { members, is_complete })).await;
+        Ok(is_complete)
     }
 }
 
-/// Whether a list that may be old names all that were entered up to a place. Where the store has come back
-/// before, it may be from before the return: its revisions are other writings' then.
-fn has_all_up_to(list: &MemberList, place: Position) -> bool {
-    !place.follows_a_return() && list.position >= place
+/// Whether a possibly stale list includes every entry written up to `position`. After a restore of
+/// the store, a stale list may still be from before it, where revisions stand for other writes.
+fn includes_all_until(list: &MemberList, position: Position) -> bool {
+    !position.follows_restore() && list.position >= position
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,6 +1,6 @@
-//! The page of metrics: what the core, the store's client and the log have counted.
+//! Serves the metrics of the core, the store client and the logger over HTTP.
 
-use crate::command::{Command, Measures};
+use crate::command::{Command, CoreMetrics};
 use crate::counted_store::StoreMeter;
 use hyper::StatusCode;
 use loftdrift_counters::{CounterSet, PublishedSet, counter_set, render};
@@ -9,26 +9,26 @@
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
 
-const PATH: &str = "/metrics";
+const METRICS_PATH: &str = "/metrics";
 
 counter_set! {
-    /// What the log has counted.
+    /// Counters of the logger.
     pub struct LogCounters {
         /// Lines dropped because standard output was too slow or closed.
         lines_dropped,
     }
 }
 
-/// What a page shows besides the core's own.
+/// Serves the metrics page.
 pub(crate) struct Metrics {
-    /// The core's part of each name.
+    /// Role that is part of the name of each of the core's metrics.
     pub(crate) role: &'static str,
     pub(crate) commands: mpsc::Sender<Command>,
     pub(crate) store: StoreMeter,
 }
 
 impl Metrics {
-    /// Serves the page; a node without one is better than none, so an address that is taken is told.
+    /// Serves the page. If the address is taken, the node logs a warning and runs without metrics.
     pub(crate) async fn serve(self, address: SocketAddrV4) {
         let listener = match TcpListener::bind(address).await {
             Ok(listener) => listener,
@@ -41,12 +41,12 @@
         let Metrics { role, commands, store } = self;
         loftdrift_http::serve(listener, move |request| {
             let (commands, store) = (commands.clone(), store.clone());
-            let is_here = request.uri().path() == PATH;
+            let is_metrics_path = request.uri().path() == METRICS_PATH;
             async move {
-                if !is_here {
+                if !is_metrics_path {
                     return Some(text_answer(StatusCode::NOT_FOUND, ""));
                 }
-                let page = page(role, &commands, &store).await?;
+                let page = render_page(role, &commands, &store).await?;
                 Some(text_answer(StatusCode::OK, page))
             }
         })
@@ -54,14 +54,14 @@
     }
 }
 
-async fn page(
+async fn render_page(
     role: &'static str,
     commands: &mpsc::Sender<Command>,
     store: &StoreMeter,
 ) -> Option<String> {
-    let (sender, measures) = oneshot::channel();
-    commands.send(Command::GiveMeasures(sender)).await.ok()?;
-    let Measures { samples, histograms } = measures.await.ok()?;
+    let (sender, metrics) = oneshot::channel();
+    commands.send(Command::GetMetrics(sender)).await.ok()?;
+    let CoreMetrics { samples, histograms } = metrics.await.ok()?;
     let log = LogCounters { lines_dropped: loftdrift_logging::lines_dropped() };
     let core = PublishedSet { role, samples, histograms };
     let log = PublishedSet { role: "log", samples: log.samples(), histograms: Vec::new() };
--- a/crates/node/src/registration.rs
+++ b/crates/node/src/registration.rs
@@ -1,128 +1,133 @@
-//! Keeps the node's entry in the shared store's list.
+//! Keeps this node's entry in the shared store's member list.
 //!
-//! An entry stands until its node takes it away or auditors do (`member_audit`); nothing is renewed, so
-//! that calls do not grow with nodes and hours. A store that comes back from an older copy has lost the
-//! entries that were written last: their nodes write them again when they hear of its new era, all others
-//! when an auditor misses them, and all are back two seconds after its return.
+//! An entry stays until its node or an auditor (`member_audit`) removes it. Entries are not
+//! renewed, so the number of calls does not grow with the nodes and the time they run. A store that
+//! is restored from an older copy has lost the latest entries. Nodes that registered recently write
+//! theirs again when they learn of the new era, all others when an auditor finds the entry missing;
+//! all entries are back two seconds after the restore.
 
+use crate::backoff::Backoff;
 use crate::command::NodeStatus;
-use crate::member_list::{Entered, ListReader};
-use crate::pace::Pace;
-use crate::shared_store::{Currency, Member, SharedStore, StoreFailure};
+use crate::member_list::{MemberListReader, Origin};
+use crate::shared_store::{Consistency, Member, SharedStore, StoreFailure};
 use rand::Rng;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::time::Instant;
 
-/// First pause after a failure, a few times what the store takes to answer.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-/// Entries that could not be written are there two seconds after the store's return.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
-/// Nodes whose entries are missing write them within this time, not all at once. With what it takes to
-/// notice the return and to compare the list, an entry is back within two seconds.
-const REWRITE_SPREAD: Duration = Duration::from_millis(600);
-/// A copy is some seconds old: it holds entries that are older than this. Were one gone all the same, the
-/// next audit would miss it.
-const RECENT: Duration = Duration::from_secs(60);
-/// A node that leaves for good waits so long for the store to take its entry away.
-const LEAVE_TIMEOUT: Duration = Duration::from_millis(250);
+/// A few times the store's usual response time.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+/// Entries that could not be written are in the list two seconds after the store answers again.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
+/// Nodes whose entries are missing write them at random times within this delay, not all at once.
+/// Together with the time to notice the restore and to audit the list, an entry is back within two
+/// seconds.
+const MAX_REWRITE_DELAY: Duration = Duration::from_millis(600);
+/// The copy that a store is restored from is some seconds old, so it has the entries that are older
+/// than this. If one is lost nevertheless, the next audit finds it missing.
+const RECENT_ENTRY_AGE: Duration = Duration::from_secs(60);
+/// How long a node that stops for good waits for the store to remove its entry.
+const DEREGISTER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A node's entry and what is needed to keep it.
+/// The task that keeps this node's entry in the list.
 pub(crate) struct Registration<S> {
-    pub(crate) lists: ListReader<S>,
-    /// An auditor has not found the entry.
-    pub(crate) missing: mpsc::Receiver<()>,
-    /// Tells the era that the node knows of.
+    pub(crate) lists: MemberListReader<S>,
+    /// Receives a message when an auditor has found the entry missing.
+    pub(crate) entry_missing: mpsc::Receiver<()>,
+    /// The core's status, with the store's era that the node knows of.
     pub(crate) status: watch::Receiver<NodeStatus>,
 }
 
 /// Why the entry is written again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Cause {
-    /// An auditor has not found it.
-    Missed,
-    /// The store has come back from a copy that may be older.
-    Restored,
+enum RewriteCause {
+    /// An auditor found it missing.
+    EntryMissing,
+    /// The store was restored from a copy that may be older than the entry.
+    StoreRestored,
 }
 
-impl Cause {
+impl RewriteCause {
+    /// The cause as it appears in the log.
     fn name(self) -> &'static str {
         match self {
-            Cause::Missed => "missed",
-            Cause::Restored => "store_restored",
+            RewriteCause::EntryMissing => "missed",
+            RewriteCause::StoreRestored => "store_restored",
         }
     }
 }
 
 impl<S: SharedStore> Registration<S> {
-    /// Keeps the entry until nobody listens.
-    pub(crate) async fn keep(mut self) {
-        // No process of the system has run before a first start: there is no entry of an earlier one.
-        let mut entered = self.enter_at_last(!self.lists.is_first_start).await;
+    /// Keeps the entry until the core's task has ended.
+    pub(crate) async fn run(mut self) {
+        // On the system's first start there is no entry of an earlier process.
+        let mut origin = self.register_with_retries(!self.lists.is_first_start).await;
         loop {
             let lists = self.lists.clone();
-            let reading = async {
-                lists.read_until_whole(entered).await;
+            let read = async {
+                lists.read_until_complete(origin).await;
                 std::future::pending().await
             };
-            // Readings take seconds: an entry that is lost meanwhile does not wait for them.
+            // Reading the lists can take seconds; a lost entry is written again without waiting.
             let cause = tokio::select! {
-                cause = self.lost(entered) => cause,
-                () = reading => None,
+                cause = self.entry_lost(origin) => cause,
+                () = read => None,
             };
             let Some(cause) = cause else { return };
             log::warn!(cause = cause.name(); "registration_missing");
-            let share = rand::rng().random_range(0.0..1.0);
-            tokio::time::sleep(REWRITE_SPREAD.mul_f64(share)).await;
-            entered = self.enter_at_last(false).await.again();
+            let fraction = rand::rng().random_range(0.0..1.0);
+            tokio::time::sleep(MAX_REWRITE_DELAY.mul_f64(fraction)).await;
+            origin = self.register_with_retries(false).await.rewritten();
         }
     }
 
-    /// Waits until the entry may be gone; `None` while the process ends.
-    async fn lost(&mut self, entered: Entered) -> Option<Cause> {
-        let entered_at = Instant::now();
+    /// Waits until the entry may be lost; `None` while the process ends.
+    async fn entry_lost(&mut self, origin: Origin) -> Option<RewriteCause> {
+        let registered_at = Instant::now();
         let mut status = self.status.clone();
         let restored = async {
-            let era = entered.era()?;
+            let era = origin.era()?;
             status.wait_for(|status| status.configuration.position.era > era).await.ok()?;
-            (entered_at.elapsed() < RECENT).then_some(Cause::Restored)
+            (registered_at.elapsed() < RECENT_ENTRY_AGE).then_some(RewriteCause::StoreRestored)
         };
-        let missed = async { self.missing.recv().await.map(|()| Cause::Missed) };
+        let missing =
+            async { self.entry_missing.recv().await.map(|()| RewriteCause::EntryMissing) };
         tokio::select! {
-            cause = missed => cause,
+            cause = missing => cause,
             Some(cause) = restored => Some(cause),
         }
     }
 
-    /// Enters the node, however often that takes.
-    async fn enter_at_last(&mut self, may_stand: bool) -> Entered {
-        let mut pace = Pace::new(FIRST_PAUSE, LONGEST_PAUSE);
+    /// Registers the node, with retries until it succeeds. With `may_exist`, an equal entry of an
+    /// earlier process is kept.
+    async fn register_with_retries(&mut self, may_exist: bool) -> Origin {
+        let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         let mut has_failed = false;
         loop {
-            match self.enter(may_stand).await {
-                Ok(entered) => {
-                    // Several auditors have told of the time without the entry.
-                    while self.missing.try_recv().is_ok() {}
-                    return entered;
+            match self.register(may_exist).await {
+                Ok(origin) => {
+                    // Several auditors may have reported the entry missing before it was written.
+                    while self.entry_missing.try_recv().is_ok() {}
+                    return origin;
                 }
-                // Told once for as long as it lasts; the counters tell the rest.
+                // Logged once per registration; the counters show the further failures.
                 Err(failure) if !std::mem::replace(&mut has_failed, true) => {
                     let failure = failure.to_string();
                     log::warn!(failure = failure.as_str(); "registration_failed");
                 }
                 Err(_) => {}
             }
-            pace.pause().await;
+            backoff.wait().await;
         }
     }
 
-    async fn enter(&self, may_stand: bool) -> Result<Entered, StoreFailure> {
-        if may_stand && self.stands().await? {
-            return Ok(Entered::Before);
+    async fn register(&self, may_exist: bool) -> Result<Origin, StoreFailure> {
+        if may_exist && self.entry_exists().await? {
+            return Ok(Origin::Found);
         }
         match self.lists.store.write_member(&self.lists.member).await {
-            Ok(position) => Ok(Entered::At(position)),
-            // The list is read even where the entry cannot be written: nodes that start need it most.
+            Ok(position) => Ok(Origin::Written(position)),
+            // Read the lists even if the entry cannot be written: starting nodes need them most.
             Err(failure) => {
                 self.lists.read_any().await?;
                 Err(failure)
@@ -130,10 +135,10 @@
         }
     }
 
-    /// Whether the entry that an earlier process of this node has left still stands.
-    async fn stands(&self) -> Result<bool, StoreFailure> {
+    /// Whether the list still has an equal entry that an earlier process of this node wrote.
+    async fn entry_exists(&self) -> Result<bool, StoreFailure> {
         let member = &self.lists.member;
-        match self.lists.store.read_member(member, Currency::MayBeOld).await {
+        match self.lists.store.read_member(member, Consistency::MayBeStale).await {
             Ok(found) => Ok(found.as_ref() == Some(member)),
             Err(StoreFailure::Gone) => Ok(false),
             Err(failure) => Err(failure),
@@ -141,10 +146,11 @@
     }
 }
 
-/// Takes the entry of a node away that leaves for good: whoever starts later need not wait for it.
-pub(crate) async fn leave(store: impl SharedStore, member: &Member) {
-    // Left to the auditors where the store does not answer.
-    let removed = tokio::time::timeout(LEAVE_TIMEOUT, store.remove_member(member, None)).await;
+/// Removes the entry of a node that stops for good, so that nodes which start later do not wait
+/// for it.
+pub(crate) async fn deregister(store: impl SharedStore, member: &Member) {
+    // If the store does not answer, the auditors remove the entry later.
+    let removed = tokio::time::timeout(DEREGISTER_TIMEOUT, store.remove_member(member, None)).await;
     if !matches!(removed, Ok(Ok(_))) {
         log::warn!("registration_left_to_auditors");
     }
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -1,4 +1,4 @@
-//! How a node is set up.
+//! A node's settings file.
 
 use loftdrift_carried::{Node, NodeRole, Policies, Policy};
 use loftdrift_findings::{Collector, Findings};
@@ -11,97 +11,98 @@
 const ROLE_AGENT: &str = "carried-agent";
 const DEFAULT_STOP_GRACE_SECONDS: f64 = 6.0;
 const DEFAULT_LONGEST_FLOW_SECONDS: f64 = 60.0;
-/// No more than the configuration tells.
+/// A cold back end receives new flows at the rate that the configuration gives.
 const DEFAULT_COLD_OVERSHOOT: f64 = 1.0;
-/// Below this a back end is given less than it bears, above the limit means nothing.
-const LEAST_COLD_OVERSHOOT: f64 = 0.1;
-const MOST_COLD_OVERSHOOT: f64 = 100.0;
+/// Lower values give a back end less than it can handle; above the maximum the limit has no effect.
+const MIN_COLD_OVERSHOOT: f64 = 0.1;
+const MAX_COLD_OVERSHOOT: f64 = 100.0;
 /// The usual link of a small machine.
 const DEFAULT_LINK_MBPS: f64 = 1_000.0;
-/// Below this no service is carried; above the limit means a wrong unit.
-const LEAST_LINK_MBPS: f64 = 1.0;
-const MOST_LINK_MBPS: f64 = 1e6;
-/// The shortest of the users.
+/// A slower link cannot carry a service; more than the maximum indicates a wrong unit.
+const MIN_LINK_MBPS: f64 = 1.0;
+const MAX_LINK_MBPS: f64 = 1e6;
+/// The shortest bound that users require.
 const DEFAULT_CONFIGURATION_BOUND_MS: u64 = 3_000;
-/// Heartbeats and calls to the store take their time; nothing is in force everywhere sooner.
-const LEAST_CONFIGURATION_BOUND_MS: u64 = 500;
+/// Heartbeats and calls to the store take this long; no change is in force everywhere sooner.
+const MIN_CONFIGURATION_BOUND_MS: u64 = 500;
 
 /// Settings of a node.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// The node's name, unique among all nodes.
     pub name: String,
-    /// The node itself; its address takes messages over UDP and gives snapshots over TCP.
+    /// The node itself. Its address receives messages over UDP and serves snapshots over TCP.
     pub node: Node,
-    /// What it does, with the sockets for it.
-    pub place: Place,
-    /// Where it is asked whether callers' packets should come here.
+    /// The settings of its role.
+    pub role_settings: RoleSettings,
+    /// Address on which the node answers readiness probes over HTTP.
     pub readiness: Option<SocketAddrV4>,
-    /// Where its counters are read.
+    /// Address on which the node serves its metrics over HTTP.
     pub metrics: Option<SocketAddrV4>,
-    /// The shared store.
+    /// Address of the shared store.
     pub store: SocketAddrV4,
-    /// Nodes to ask for a snapshot at the start.
+    /// Nodes from which a snapshot is fetched at the start.
     pub seeds: Vec<SocketAddrV4>,
-    /// An accepted configuration or evacuation is in force everywhere after this time.
+    /// Time after which an accepted configuration or evacuation must be in force on all nodes.
     pub configuration_bound: Duration,
-    /// A cold back end is given at most so many times the new flows that the configuration tells.
+    /// A cold back end receives at most this multiple of the rate of new flows that the
+    /// configuration gives.
     pub cold_overshoot: f64,
-    /// Megabits a second that the machine's link carries.
+    /// Bandwidth of the machine's link, in megabits per second.
     pub link_mbps: f64,
     /// How long a planned stop may take.
     pub stop_grace: Duration,
-    /// Age that no flow exceeds.
+    /// Maximum age of a flow.
     pub longest_flow: Duration,
-    /// No process of the system has run before.
+    /// Whether the system is started for the first time, so that no earlier process has run.
     pub is_first_start: bool,
-    /// Mechanisms that are on.
+    /// The enabled policies.
     pub policies: Policies,
 }
 
-/// What a node does.
+/// The settings of a node's role.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Place {
-    /// Takes callers' packets.
-    Balancer(BalancerPlace),
-    /// Stands beside a back end.
-    Agent(AgentPlace),
+pub enum RoleSettings {
+    /// A balancer, which receives callers' packets.
+    Balancer(BalancerSettings),
+    /// An agent, which runs on the machine of a back end.
+    Agent(AgentSettings),
 }
 
-impl Place {
-    /// What the node does, in logs.
+impl RoleSettings {
+    /// The role's name in logs.
     pub fn name(&self) -> &'static str {
         match self {
-            Place::Balancer(_) => "balancer",
-            Place::Agent(_) => "agent",
+            RoleSettings::Balancer(_) => "balancer",
+            RoleSettings::Agent(_) => "agent",
         }
     }
 }
 
 /// A balancer's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BalancerPlace {
-    /// Takes callers' packets over UDP.
+pub struct BalancerSettings {
+    /// UDP address that receives callers' packets.
     pub ingress: SocketAddrV4,
 }
 
 /// An agent's own settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AgentPlace {
-    /// Takes the back end's packets over UDP.
+pub struct AgentSettings {
+    /// UDP address that receives the back end's packets.
     pub outbound: SocketAddrV4,
-    /// Takes the back end's heartbeats over HTTP.
+    /// Address that receives the back end's heartbeats over HTTP.
     pub control: SocketAddrV4,
-    /// The back end: packets over UDP, its health page over TCP.
+    /// Address of the back end: packets over UDP, its health page over HTTP.
     pub backend: SocketAddrV4,
     /// The back end's service.
     pub service: String,
-    /// Port at which callers take packets.
+    /// Port at which callers receive packets.
     pub caller_port: u16,
 }
 
 impl NodeSettings {
-    /// Reads and checks a settings file's text; every finding is reported with its place.
+    /// Parses and checks the text of a settings file. Every finding has its line and column.
     pub fn read(
         file: &str,
         text: &str,
@@ -114,18 +115,20 @@
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
                 findings.add(offset, error.message(), "TOML");
-                return findings.finish(None).and_then(|none| none.ok_or_else(|| empty(file)));
+                return findings
+                    .finish(None)
+                    .and_then(|none| none.ok_or_else(|| no_findings(file)));
             }
         };
         let mut reader = Reader::new(&mut findings, document.as_table(), overrides);
         let settings = read_node(&mut reader, incarnation);
         reader.finish();
-        findings.finish(settings)?.ok_or_else(|| empty(file))
+        findings.finish(settings)?.ok_or_else(|| no_findings(file))
     }
 }
 
-/// Findings of a file whose settings are not whole though nothing was found; never shown.
-fn empty(file: &str) -> Findings {
+/// Result for settings that are incomplete although there are no findings; this never happens.
+fn no_findings(file: &str) -> Findings {
     Findings { file: file.to_owned(), list: Vec::new() }
 }
 
@@ -136,34 +139,35 @@
     let region = reader.text("region");
     let messages = reader.listener("messages");
     let readiness = reader.optional_listener("readiness");
-    // A node without metrics is better than none: an address that is taken is told at the start.
+    // Read without the check for listeners: if the address is taken, the node starts without
+    // metrics and logs a warning.
     let metrics = reader.optional_address("metrics");
     let store = reader.address("store");
     let seeds = reader.addresses("seeds");
     let bound = reader.count(
         "configuration_bound_ms",
-        LEAST_CONFIGURATION_BOUND_MS,
+        MIN_CONFIGURATION_BOUND_MS,
         DEFAULT_CONFIGURATION_BOUND_MS,
     );
     let cold_overshoot = reader.number(
         "cold_overshoot",
-        LEAST_COLD_OVERSHOOT,
-        MOST_COLD_OVERSHOOT,
+        MIN_COLD_OVERSHOOT,
+        MAX_COLD_OVERSHOOT,
         DEFAULT_COLD_OVERSHOOT,
     );
-    let link_mbps = reader.number("link_mbps", LEAST_LINK_MBPS, MOST_LINK_MBPS, DEFAULT_LINK_MBPS);
+    let link_mbps = reader.number("link_mbps", MIN_LINK_MBPS, MAX_LINK_MBPS, DEFAULT_LINK_MBPS);
     let evacuation_bound = reader.count(
         "evacuation_bound_ms",
-        LEAST_CONFIGURATION_BOUND_MS,
+        MIN_CONFIGURATION_BOUND_MS,
         bound.unwrap_or(DEFAULT_CONFIGURATION_BOUND_MS),
     );
     let stop_grace = reader.seconds("stop_grace_s", DEFAULT_STOP_GRACE_SECONDS);
     let longest_flow = reader.seconds("longest_flow_s", DEFAULT_LONGEST_FLOW_SECONDS);
     let is_first_start = reader.switch("first_start", false);
     let policies = read_policies(reader);
-    let place = match role? {
-        NodeRole::Balancer => read_balancer(reader).map(Place::Balancer),
-        NodeRole::Agent => read_agent(reader).map(Place::Agent),
+    let role_settings = match role? {
+        NodeRole::Balancer => read_balancer(reader).map(RoleSettings::Balancer),
+        NodeRole::Agent => read_agent(reader).map(RoleSettings::Agent),
     };
     let node = Node {
         address: messages?,
@@ -177,11 +181,12 @@
     Some(NodeSettings {
         name: name?,
         node,
-        place: place?,
+        role_settings: role_settings?,
         readiness,
         metrics,
         store: store?,
-        // Seeds are named by any of their addresses; the ports are alike on all machines.
+        // Seeds may be given with any of their ports: the port for messages is the same on all
+        // machines.
         seeds: seeds.iter().map(|seed| SocketAddrV4::new(*seed.ip(), messages_port)).collect(),
         configuration_bound: Duration::from_millis(bound?.min(evacuation_bound?)),
         cold_overshoot: cold_overshoot?,
@@ -206,7 +211,7 @@
     }
 }
 
-/// Every mechanism but those that are named.
+/// All policies except those listed in `policies_off`.
 fn read_policies(reader: &mut Reader<'_, '_>) -> Policies {
     let mut policies = Policies::default();
     for (name, offset) in reader.texts("policies_off") {
@@ -214,25 +219,25 @@
             Ok(policy) => policies = policies.without(policy),
             Err(_) => {
                 let expected = Policy::ALL.map(Policy::name).join(", ");
-                reader.finding(offset, format!("unknown mechanism `{name}`"), &expected);
+                reader.finding(offset, format!("unknown policy `{name}`"), &expected);
             }
         }
     }
     policies
 }
 
-fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerPlace> {
+fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerSettings> {
     let ingress = reader.listener("ingress");
-    Some(BalancerPlace { ingress: ingress? })
+    Some(BalancerSettings { ingress: ingress? })
 }
 
-fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentPlace> {
+fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentSettings> {
     let outbound = reader.listener("outbound");
     let control = reader.listener("control");
     let backend = reader.address("backend");
     let service = reader.text("service");
     let caller = reader.address("caller_port_of");
-    Some(AgentPlace {
+    Some(AgentSettings {
         outbound: outbound?,
         control: control?,
         backend: backend?,
--- a/crates/node/src/store_reader.rs
+++ b/crates/node/src/store_reader.rs
@@ -1,26 +1,27 @@
-//! Reads what operators have written once whenever the core asks for it: an agent does so for balancers that
-//! the shared store refuses, a balancer when nobody tells it of the store.
+//! Reads the operators' configuration and evacuations once whenever the core requests it. An agent
+//! does so on behalf of balancers that the shared store refuses (a delegated store read); a
+//! balancer does so when no other node confirms to it that the store is reachable.
 
 use crate::command::Command;
-use crate::shared_store::{Currency, SharedStore};
+use crate::shared_store::{Consistency, SharedStore};
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Shortest time between two readings, whoever asks.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Minimum time between two reads, however many are requested.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reads until nobody asks any more.
-pub(crate) async fn read(
+/// Reads the store at each request until the request channel is closed.
+pub(crate) async fn run(
     store: impl SharedStore,
-    mut asked: mpsc::Receiver<()>,
+    mut requests: mpsc::Receiver<()>,
     commands: mpsc::Sender<Command>,
 ) {
-    while asked.recv().await.is_some() {
-        let answered = match store.read_operators(Currency::Newest).await {
+    while requests.recv().await.is_some() {
+        let is_reachable = match store.read_operator_state(Consistency::Latest).await {
             Ok(state) => {
                 if let Some(document) = state.document() {
-                    // Nobody listens only while the process ends.
-                    let _ = commands.send(Command::Adopt(document)).await;
+                    // Sending fails only while the process ends.
+                    let _ = commands.send(Command::AdoptConfiguration(document)).await;
                 }
                 true
             }
@@ -30,7 +31,7 @@
                 false
             }
         };
-        let _ = commands.send(Command::StoreAnswers(answered)).await;
-        tokio::time::sleep(PAUSE).await;
+        let _ = commands.send(Command::StoreReachable(is_reachable)).await;
+        tokio::time::sleep(MIN_READ_INTERVAL).await;
     }
 }
--- a/crates/store/src/follow.rs
+++ b/crates/store/src/follow.rs
@@ -1,5 +1,7 @@
-//! Keeps a process's configuration up to date: reads all of it, then watches. A watch that says nothing may be
-//! a quiet one or a connection that has gone silent: the newest head is asked for on another one.
+//! Keeps a process's configuration up to date: reads all of it, then watches for changes.
+//!
+//! A watch without events may mean that nothing has changed or that its connection has failed
+//! silently. The head key, which each change writes, is therefore read over another connection.
 
 use crate::client::{StoreClient, StoreError, key_value};
 use crate::etcd::{DELETE_EVENT, WatchLine, WatchResponse};
@@ -13,11 +15,11 @@
 use thiserror::Error;
 use tokio::sync::watch;
 
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(5);
-/// A watch that says nothing is trusted for about so long: a third of the time in which a change is to be in
-/// force everywhere.
-const QUIET: Duration = Duration::from_secs(6);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// How long a watch may stay without events before the head key is read, give or take a quarter. A
+/// third of the time within which a change must be in force everywhere.
+const WATCH_IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
 #[derive(Debug, Error)]
 enum FollowError {
@@ -27,49 +29,49 @@
     Document(#[from] DocumentError),
     #[error("the watch ended")]
     WatchEnded,
-    #[error("nobody needs the configuration any more")]
-    NobodyListens,
+    #[error("all receivers of the configuration were dropped")]
+    NoSubscribers,
 }
 
-/// Publishes each configuration that the store holds, until nobody listens.
+/// Publishes each new configuration from the store until all receivers are dropped.
 ///
-/// While the store cannot be reached, the last one stays published; attempts come with growing,
-/// jittered pauses, so that many processes do not return at once.
-pub async fn follow(
+/// While the store cannot be reached, the last configuration stays published. Retries use
+/// exponential backoff with jitter, so that many processes do not return at the same time.
+pub async fn follow_configuration(
     store: StoreClient,
     seed: u64,
     published: watch::Sender<Option<Arc<Configuration>>>,
 ) {
-    let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut pause = FIRST_PAUSE;
-    let mut reachable = true;
+    let mut rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut backoff = INITIAL_BACKOFF;
+    let mut is_reachable = true;
     loop {
-        let mut progressed = false;
-        // Many processes that started together do not ask at the same moment.
-        let quiet = QUIET.mul_f64(random.random_range(0.75..1.25));
-        let error = match read_and_watch(&store, &published, quiet, &mut progressed).await {
-            Err(FollowError::NobodyListens) => return,
+        let mut has_read = false;
+        // Jitter, so that processes that started together do not read the head at the same moment.
+        let idle_timeout = WATCH_IDLE_TIMEOUT.mul_f64(rng.random_range(0.75..1.25));
+        let error = match read_and_watch(&store, &published, idle_timeout, &mut has_read).await {
+            Err(FollowError::NoSubscribers) => return,
             Err(error) => error,
             Ok(()) => FollowError::WatchEnded,
         };
-        if progressed {
-            pause = FIRST_PAUSE;
-            reachable = true;
+        if has_read {
+            backoff = INITIAL_BACKOFF;
+            is_reachable = true;
         }
-        if reachable {
+        if is_reachable {
             log::warn!(error:% = error; "configuration store lost, keeping the last configuration");
-            reachable = false;
+            is_reachable = false;
         }
-        tokio::time::sleep(pause.mul_f64(random.random_range(0.5..1.5))).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        tokio::time::sleep(backoff.mul_f64(rng.random_range(0.5..1.5))).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 async fn read_and_watch(
     store: &StoreClient,
     published: &watch::Sender<Option<Arc<Configuration>>>,
-    quiet: Duration,
-    progressed: &mut bool,
+    idle_timeout: Duration,
+    has_read: &mut bool,
 ) -> Result<(), FollowError> {
     let request = StoreRequest::ReadPrefix { prefix: KEY_PREFIX.to_owned() };
     let StoreReply::Keys { keys, revision } = store.send(&request).await? else {
@@ -77,13 +79,13 @@
     };
     let mut documents = Documents::read(&keys)?;
     publish(&documents, published)?;
-    *progressed = true;
+    *has_read = true;
     let mut lines = store.watch(KEY_PREFIX, revision + 1).await?;
     loop {
         let line = tokio::select! {
             line = lines.next::<WatchLine>() => line.map_err(StoreError::from)?,
-            () = published.closed() => return Err(FollowError::NobodyListens),
-            () = tokio::time::sleep(quiet) => {
+            () = published.closed() => return Err(FollowError::NoSubscribers),
+            () = tokio::time::sleep(idle_timeout) => {
                 if is_newest(store, &documents).await? {
                     continue;
                 }
@@ -98,12 +100,12 @@
         if line.result.events.is_empty() {
             continue;
         }
-        take_events(&mut documents, line.result)?;
+        apply_events(&mut documents, line.result)?;
         publish(&documents, published)?;
     }
 }
 
-/// Whether the store's head, which each change writes, is the one known.
+/// Whether the store's head key, which each change writes, has the revision that is known.
 async fn is_newest(store: &StoreClient, known: &Documents) -> Result<bool, StoreError> {
     let request = StoreRequest::ReadPrefix { prefix: HEAD_KEY.to_owned() };
     let StoreReply::Keys { keys, .. } = store.send(&request).await? else { return Ok(false) };
@@ -111,7 +113,7 @@
     Ok(head.map_or(0, |head| head.mod_revision) == known.head_mod_revision())
 }
 
-fn take_events(documents: &mut Documents, response: WatchResponse) -> Result<(), DocumentError> {
+fn apply_events(documents: &mut Documents, response: WatchResponse) -> Result<(), DocumentError> {
     for event in response.events {
         if event.kind == DELETE_EVENT {
             documents.delete(&event.kv.key.0);
@@ -122,13 +124,14 @@
     Ok(())
 }
 
-/// Publishes only what is newer: a store that was restored from an older copy rolls nothing back.
+/// Publishes the configuration only if it is newer than the published one, so that a store restored
+/// from an older copy does not roll back the configuration.
 fn publish(
     documents: &Documents,
     published: &watch::Sender<Option<Arc<Configuration>>>,
 ) -> Result<(), FollowError> {
     if published.is_closed() {
-        return Err(FollowError::NobodyListens);
+        return Err(FollowError::NoSubscribers);
     }
     let configuration = documents.configuration();
     published.send_if_modified(|current| {
