--- a/crates/carried/src/counters.rs
+++ b/crates/carried/src/counters.rs
@@ -31,7 +31,7 @@
         flows_ended,
         /// Packets that an agent returned because it does not own their flow.
         packets_not_held,
-        /// New flows that are offered to agents.
+        /// New flows requested by callers.
         openings_started,
         /// New flows placed at a back end.
         openings_placed,
--- a/crates/carried/src/load.rs
+++ b/crates/carried/src/load.rs
@@ -21,33 +21,33 @@
     /// Busy slot time and number of answers; both decay by the same factor.
     busy_seconds: f64,
     answers: f64,
-    /// Number of busy slots since `counted_at`.
+    /// Number of busy slots since `updated_at`.
     busy: u32,
-    counted_at: Duration,
+    updated_at: Duration,
     last_answer_at: Duration,
     /// Number of answers so far.
-    measured: u32,
+    total_answers: u32,
 }
 
 impl ServiceTimeMeter {
     /// Sets the number of requests in progress, on `capacity` slots.
     pub(crate) fn note_working(&mut self, now: Duration, working: u32, capacity: u32) {
-        self.count(now);
+        self.add_busy_time(now);
         self.busy = working.min(capacity);
     }
 
-    fn count(&mut self, now: Duration) {
-        let elapsed = now.saturating_sub(self.counted_at).as_secs_f64();
+    fn add_busy_time(&mut self, now: Duration) {
+        let elapsed = now.saturating_sub(self.updated_at).as_secs_f64();
         self.busy_seconds += elapsed * f64::from(self.busy);
-        self.counted_at = now;
+        self.updated_at = now;
     }
 
     /// Counts an answer.
     pub(crate) fn record(&mut self, now: Duration) {
-        self.count(now);
-        self.measured = self.measured.saturating_add(1);
+        self.add_busy_time(now);
+        self.total_answers = self.total_answers.saturating_add(1);
         // A plain mean until the weight of a new answer has fallen to its minimum.
-        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.measured));
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.total_answers));
         let decay = if weight > MIN_SAMPLE_WEIGHT { 1.0 } else { 1.0 - weight };
         self.busy_seconds *= decay;
         self.answers = (self.answers + 1.0) * decay;
@@ -83,7 +83,7 @@
             Some(mean) => budget.as_secs_f64() / mean.max(MIN_MEAN_SECONDS),
             None => UNMEASURED_REQUESTS_PER_SLOT,
         };
-        let is_reliable = self.measured >= (capacity * MIN_ANSWERS_PER_SLOT).max(MIN_ANSWERS);
+        let is_reliable = self.total_answers >= (capacity * MIN_ANSWERS_PER_SLOT).max(MIN_ANSWERS);
         let per_slot =
             if is_reliable { per_slot } else { per_slot.min(UNMEASURED_REQUESTS_PER_SLOT) };
         let limit = f64::from(capacity) * per_slot;
--- a/crates/carried/src/segment.rs
+++ b/crates/carried/src/segment.rs
@@ -14,8 +14,8 @@
     pub destination: SocketAddrV4,
     /// Sequence number of its first byte.
     pub sequence: u32,
-    /// The sequence number that it acknowledges; in a SYN, the number of the retransmission (0 for
-    /// the first).
+    /// The sequence number that it acknowledges; in a SYN, the number of the retransmission, 0 for
+    /// the original SYN.
     pub acknowledgement: u32,
     /// The SYN flag.
     pub syn: bool,
