--- a/crates/bench/benches/carried.rs
+++ b/crates/bench/benches/carried.rs
@@ -32,7 +32,7 @@
     let route = |number: u32| Route {
         address: service_address(number),
         targets: vec![RouteTarget { service: format!("service-{number}"), weight: 1 }],
-        target_latency_ms: 250,
+        latency_target_ms: 250,
         priority: 1,
         regions: Vec::new(),
     };
--- a/crates/bench/benches/lookups.rs
+++ b/crates/bench/benches/lookups.rs
@@ -68,7 +68,7 @@
     let route = Route {
         address: service_address(0),
         targets,
-        target_latency_ms: 250,
+        latency_target_ms: 250,
         priority: 1,
         regions: Vec::new(),
     };
--- a/crates/carried/src/balancer/openings.rs
+++ b/crates/carried/src/balancer/openings.rs
@@ -50,7 +50,7 @@
             }
             return;
         };
-        let aim = match route.target_latency_ms {
+        let aim = match route.latency_target_ms {
             0 => DEFAULT_AIM,
             milliseconds => Duration::from_millis(u64::from(milliseconds)),
         };
--- a/crates/carried/src/configuration.rs
+++ b/crates/carried/src/configuration.rs
@@ -28,7 +28,7 @@
     /// The services that share its new flows; most routes have one.
     pub targets: Vec<RouteTarget>,
     /// An answer within this many milliseconds has its full value to the caller; 0 if not set.
-    pub target_latency_ms: u32,
+    pub latency_target_ms: u32,
     /// Priority of its requests; 0 is the most urgent.
     pub priority: u8,
     /// The regions whose back ends may take its flows; all regions if empty.
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -52,7 +52,7 @@
 
 pub fn route(address: SocketAddrV4, service: &str) -> Route {
     let targets = vec![RouteTarget { service: service.to_owned(), weight: 1 }];
-    Route { address, targets, target_latency_ms: 250, priority: 1, regions: Vec::new() }
+    Route { address, targets, latency_target_ms: 250, priority: 1, regions: Vec::new() }
 }
 
 /// Version read at a revision of a store that was never restored from an older copy.
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -356,7 +356,7 @@
     let route = |number: usize, service: &str| Route {
         address: service_address(number),
         targets: vec![RouteTarget { service: service.to_owned(), weight: 1 }],
-        target_latency_ms: AIM_MS,
+        latency_target_ms: AIM_MS,
         priority: 1,
         regions: Vec::new(),
     };
