--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -13,7 +13,7 @@
 use loftdrift_findings::Findings;
 use loftdrift_flow::{
     Endpoint, EndpointSettings, FlowChart, FlowId, FlowState, FlowTable, SocketCommand,
-    SocketEvent, SplicedFlow, Timestamps, flow_chart, segment_checksum_is_right,
+    SocketEvent, SplicedFlow, Timestamps, flow_chart, tcp_checksum_is_valid,
 };
 use loftdrift_wire::{
     ECHO_BYTES, Echo, EchoKind, FlowCookie, FlowKey, GenevePacket, InnerPacket, SegmentKind,
@@ -104,7 +104,7 @@
 
     /// How many flows burden the back end; those that only wait for stray segments do not.
     pub fn flow_count(&self) -> usize {
-        self.flows.busy()
+        self.flows.active_flows()
     }
 
     /// The next thing to do.
@@ -125,7 +125,7 @@
         }
         while let Some(flow) = self.flows.pop_due(now) {
             match self.flows.get_mut(flow).map(|flow| &mut flow.body) {
-                Some(FlowBody::Tcp(splice)) => splice.pump(now),
+                Some(FlowBody::Tcp(splice)) => splice.poll(now),
                 Some(FlowBody::Udp(body)) if body.ends_at(self.settings.udp_idle) <= now => {
                     self.end(flow);
                     continue;
@@ -140,16 +140,16 @@
     fn watch_backend(&mut self, now: Duration) {
         match &self.place {
             Some(place) if place.transport == Transport::Tcp => {
-                self.outputs.push_back(Output::WatchBackend { server: place.backend.server });
+                self.outputs.push_back(Output::OpenHealthCheck { server: place.backend.server });
             }
             // UDP has no connections to try.
-            _ => self.handle_watch(now, true),
+            _ => self.handle_health_check(now, true),
         }
     }
 
     /// Takes what [`Output::WatchBackend`] asks for: the connection was accepted, or it was refused
     /// or has ended.
-    pub fn handle_watch(&mut self, now: Duration, accepts: bool) {
+    pub fn handle_health_check(&mut self, now: Duration, accepts: bool) {
         self.admission.health.on_watch(now, accepts);
         self.counters.backend_accepts = u64::from(accepts);
     }
@@ -171,7 +171,7 @@
             self.counters.backend_accepts = 0;
         }
         match (&mut entry.body, event) {
-            (FlowBody::Tcp(splice), event) => splice.on_socket(now, event),
+            (FlowBody::Tcp(splice), event) => splice.on_socket_event(now, event),
             (FlowBody::Udp(body), SocketEvent::Received(payload)) => {
                 body.touch(now);
                 let answer = udp::answer(&entry.key, &payload);
@@ -284,16 +284,17 @@
             SteeringMode::Locate => {
                 pass_on::locate(option, inner, self.place.as_ref().map(|place| &place.table))
             }
-            SteeringMode::Tour => {
+            SteeringMode::Select => {
                 let load = self.tour_load(now, inner);
                 let table = self.place.as_ref().map(|place| &place.table);
                 let next = pass_on::tour(option, load, inner.kind, table);
-                if matches!(&next, Next::PassOn(_, on) if on.best_index() == Some(option.cursor)) {
+                if matches!(&next, Next::PassOn(_, on) if on.least_loaded_index() == Some(option.cursor))
+                {
                     self.admission.offers.make(now);
                 }
                 next
             }
-            SteeringMode::Place => match self.load(now) {
+            SteeringMode::Open => match self.load(now) {
                 Some(_) => {
                     self.admission.offers.take();
                     Next::OpenHere
@@ -355,7 +356,7 @@
     /// This agent's load, `None` when it takes no new flow.
     fn load(&mut self, now: Duration) -> Option<u16> {
         let place = self.place.as_ref()?;
-        let load = self.admission.load(now, &place.backend, self.flows.busy());
+        let load = self.admission.load(now, &place.backend, self.flows.active_flows());
         match load {
             Ok(load) => Some(load),
             Err(refusal) => {
@@ -414,7 +415,7 @@
             FlowBody::Udp(body) => {
                 let deadline = body.ends_at(self.settings.udp_idle);
                 self.flows.wake_by(flow, Some(deadline));
-                self.counters.flows = self.flows.busy() as u64;
+                self.counters.flows = self.flows.active_flows() as u64;
                 return;
             }
         };
@@ -437,15 +438,15 @@
             self.flows.wake_by(flow, deadline);
         }
         if released {
-            self.flows.release(flow);
+            self.flows.mark_inactive(flow);
         }
-        self.counters.flows = self.flows.busy() as u64;
+        self.counters.flows = self.flows.active_flows() as u64;
     }
 
     fn end(&mut self, flow: FlowId) {
         self.flows.remove(flow);
         self.counters.flows_ended += 1;
-        self.counters.flows = self.flows.busy() as u64;
+        self.counters.flows = self.flows.active_flows() as u64;
         self.outputs.push_back(Output::Ended { flow });
     }
 
@@ -458,7 +459,7 @@
 
 fn checksum_is_right(packet: &[u8], transport: Transport) -> bool {
     match transport {
-        Transport::Tcp => segment_checksum_is_right(packet),
+        Transport::Tcp => tcp_checksum_is_valid(packet),
         Transport::Udp => udp::datagram_checksum_is_right(packet),
     }
 }
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -24,7 +24,7 @@
         transport: Transport,
     },
     /// Try a TCP connection to the back end and report to [`Agent::handle_probe`].
-    WatchBackend {
+    OpenHealthCheck {
         /// The back end.
         server: SocketAddrV4,
     },
--- a/crates/agent/src/pass_on.rs
+++ b/crates/agent/src/pass_on.rs
@@ -2,8 +2,8 @@
 
 use loftdrift_steering::{MAX_HOPS, ServiceTable};
 use loftdrift_wire::{
-    Candidate, CandidateList, InnerPacket, MAX_CANDIDATES, MAX_PAGES, SegmentKind, SteeringMode,
-    SteeringOption, TourBest,
+    Candidate, CandidateList, InnerPacket, LeastLoaded, MAX_CANDIDATES, MAX_PAGES, SegmentKind,
+    SteeringMode, SteeringOption,
 };
 
 /// What becomes of a packet whose flow is not here.
@@ -29,7 +29,9 @@
     table: Option<&ServiceTable>,
 ) -> Next {
     let mut option = *option;
-    let known = table.map(|table| (table.epoch(), table.locate(&inner.flow, inner.timestamp_echo)));
+    let known = table.map(|table| {
+        (table.epoch(), table.existing_flow_option(&inner.flow, inner.timestamp_echo))
+    });
     let known = known.as_ref().map(|(epoch, known)| (*epoch, known.candidates.as_slice()));
     add_newer(&mut option, known);
     let cursor = option.cursor + 1;
@@ -69,25 +71,25 @@
 ) -> Next {
     let mut option = *option;
     if let Some(load) = load
-        && option.best.is_none_or(|best| load < best.load)
+        && option.least_loaded.is_none_or(|best| load < best.load)
     {
-        option.best = Some(TourBest { index: option.cursor, load });
+        option.least_loaded = Some(LeastLoaded { index: option.cursor, load });
     }
     let cursor = option.cursor + 1;
-    let taken = option.best.is_some() && cursor >= option.eligible;
+    let taken = option.least_loaded.is_some() && cursor >= option.eligible_count;
     if (!taken || kind == SegmentKind::Datagram)
         && let Some(next) = advance(option, cursor)
     {
         return next;
     }
-    match option.best {
+    match option.least_loaded {
         None => {
             add_newer(&mut option, table.map(|table| (table.epoch(), table.agents())));
             advance(option, cursor).unwrap_or(Next::Refused)
         }
         Some(best) if best.index == option.cursor => Next::OpenHere,
         Some(best) => {
-            option.mode = SteeringMode::Place;
+            option.mode = SteeringMode::Open;
             advance(option, best.index).unwrap_or(Next::Refused)
         }
     }
@@ -95,7 +97,7 @@
 
 /// The tour chose this agent, which takes no new flow any more: the tour begins again.
 pub(crate) fn tour_again(option: &SteeringOption) -> Next {
-    let again = SteeringOption { mode: SteeringMode::Tour, best: None, ..*option };
+    let again = SteeringOption { mode: SteeringMode::Select, least_loaded: None, ..*option };
     advance(again, 0).unwrap_or(Next::Refused)
 }
 
--- a/crates/agent/tests/limits.rs
+++ b/crates/agent/tests/limits.rs
@@ -39,7 +39,7 @@
     let statements = parse_script("test", &script).expect("a script");
     let configuration = apply(&Configuration::default(), &statements).expect("a change that fits");
     agent.adopt(Duration::ZERO, &configuration);
-    agent.handle_watch(Duration::ZERO, true);
+    agent.handle_health_check(Duration::ZERO, true);
     agent
 }
 
@@ -51,8 +51,8 @@
         cursor: 0,
         hops_left: 16,
         page: 0,
-        eligible: 1,
-        best: None,
+        eligible_count: 1,
+        least_loaded: None,
         epoch: 1,
         candidates,
     }
@@ -96,8 +96,8 @@
 #[test]
 fn a_packet_of_another_service_is_refused_and_counted() {
     let mut agent = agent(10);
-    send(&mut agent, Duration::ZERO, OTHER_SERVICE_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, [10, 20, 0, 2]));
+    send(&mut agent, Duration::ZERO, OTHER_SERVICE_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, [10, 20, 0, 2]));
     assert_eq!(agent.counters.refused_other_service, 2);
     assert_eq!(agent.counters.flows_opened, 0);
     assert!(agent.take_output().is_none());
@@ -107,7 +107,7 @@
 fn a_full_back_end_takes_nothing_more_and_says_so() {
     let mut agent = agent(2);
     for port in 4_000..4_003 {
-        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(port, SERVICE));
+        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(port, SERVICE));
     }
     assert_eq!(agent.counters.flows_opened, 2);
     assert_eq!(agent.counters.passed_over_full, 1);
@@ -118,7 +118,7 @@
 #[test]
 fn a_handshake_that_is_never_finished_is_forgotten() {
     let mut agent = agent(10);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.flow_count(), 1);
     while let Some(next) = agent.next_timeout().filter(|next| *next <= Duration::from_secs(20)) {
         agent.handle_timeout(next);
@@ -130,7 +130,7 @@
 #[test]
 fn an_acknowledgement_of_another_agents_handshake_is_passed_on() {
     let mut agent = agent(10);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(resets(&mut agent), 0);
     let other = Candidate { backend: BackendId(2), agent: address("10.2.0.2:6081") };
     let mut option = option(SteeringMode::Locate);
@@ -149,28 +149,28 @@
 #[test]
 fn an_unreachable_back_end_opens_nothing_until_a_connection_is_accepted() {
     let mut agent = agent(10);
-    agent.handle_watch(Duration::ZERO, false);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    agent.handle_health_check(Duration::ZERO, false);
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.counters.flows_opened, 0);
     assert_eq!(agent.counters.passed_over_unreachable, 1);
-    agent.handle_watch(Duration::ZERO, true);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    agent.handle_health_check(Duration::ZERO, true);
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.counters.flows_opened, 1);
 }
 
 /// The load that the agent writes into a tour that goes on to another candidate.
 fn told_load(agent: &mut Agent, now: Duration) -> u16 {
-    let mut option = option(SteeringMode::Tour);
+    let mut option = option(SteeringMode::Select);
     let other = Candidate { backend: BackendId(2), agent: address("10.2.0.2:6081") };
     option.candidates.push(other);
-    option.eligible = 2;
+    option.eligible_count = 2;
     let datagram = encode_packet(TILES_VNI, Some(&option), &syn(5_000, SERVICE));
     agent.handle_datagram(now, address("10.1.0.1:6081"), &datagram);
     let Some(Output::Transmit { datagram, .. }) = agent.take_output() else {
         panic!("the packet was kept")
     };
     let passed_on = GenevePacket::parse(&datagram).expect("a packet").steering;
-    passed_on.and_then(|option| option.best).expect("a load").load
+    passed_on.and_then(|option| option.least_loaded).expect("a load").load
 }
 
 #[test]
@@ -180,8 +180,8 @@
     let loads = [0, 5, 10, 60].map(|at| told_load(&mut agent, seconds(at)));
     assert!(loads[0] > loads[1] && loads[1] > loads[2], "{loads:?}");
     assert_eq!((loads[0], loads[3]), (2 * loads[2], loads[2]));
-    agent.handle_watch(seconds(60), false);
-    agent.handle_watch(seconds(61), true);
+    agent.handle_health_check(seconds(60), false);
+    agent.handle_health_check(seconds(61), true);
     assert_eq!(told_load(&mut agent, seconds(61)), loads[0]);
 }
 
@@ -189,7 +189,7 @@
 fn a_doubled_syn_opens_one_flow() {
     let mut agent = agent(10);
     for _ in 0..3 {
-        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     }
     assert_eq!(agent.counters.flows_opened, 1);
 }
@@ -212,7 +212,7 @@
     let mut packet = syn(4_000, SERVICE);
     let last = packet.len() - 1;
     packet[last] ^= 0x55;
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &packet);
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &packet);
     assert_eq!(agent.counters.dropped_transport_checksum, 1);
     assert_eq!(agent.counters.flows_opened, 0);
 }
@@ -233,7 +233,7 @@
     check_fixed_seeds(|input| {
         let mut agent = agent(10);
         let mut datagram =
-            encode_packet(TILES_VNI, Some(&option(SteeringMode::Tour)), &syn(4_000, SERVICE));
+            encode_packet(TILES_VNI, Some(&option(SteeringMode::Select)), &syn(4_000, SERVICE));
         for _ in 0..input.int_in_range(1..=4)? {
             let place = input.int_in_range(0..=datagram.len() - 1)?;
             datagram[place] = input.arbitrary()?;
--- a/crates/app/src/agent_process.rs
+++ b/crates/app/src/agent_process.rs
@@ -129,7 +129,7 @@
                     self.core.handle_socket(now, event.flow, event.event);
                 }
                 Some(accepts) = inputs.watch_reports.recv() => {
-                    self.core.handle_watch(self.started.elapsed(), accepts);
+                    self.core.handle_health_check(self.started.elapsed(), accepts);
                 }
                 () = sleep_until(timeout) => self.core.handle_timeout(self.started.elapsed()),
                 Ok(()) = configuration.changed() => self.adopt(&mut configuration),
@@ -183,8 +183,8 @@
                 }
                 Output::StartSocket { flow, server, transport } => {
                     let source = match transport {
-                        Transport::Tcp => SocketSource::DialTcp(server),
-                        Transport::Udp => SocketSource::DialUdp(server),
+                        Transport::Tcp => SocketSource::ConnectTcp(server),
+                        Transport::Udp => SocketSource::ConnectUdp(server),
                     };
                     let events = self.event_sender.clone();
                     self.tasks.insert(flow, loftdrift_splice::spawn(flow, source, events));
@@ -195,7 +195,7 @@
                         let _ = task.send(command);
                     }
                 }
-                Output::WatchBackend { server } => {
+                Output::OpenHealthCheck { server } => {
                     self.watch.abort_all();
                     self.watch.spawn(watch_backend(server, self.watch_sender.clone()));
                 }
--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -45,8 +45,8 @@
     let probing = ProbeSettings {
         interval: PROBE_INTERVAL,
         timeout: PROBE_TIMEOUT,
-        misses: PROBE_MISSES,
-        most_per_second: task.probes_per_second,
+        miss_threshold: PROBE_MISSES,
+        max_per_second: task.probes_per_second,
     };
     let shell = Shell {
         socket: task.socket,
@@ -128,7 +128,7 @@
                         self.core.counters.send_failures += 1;
                     }
                 }
-                Verdict::Answer(echo) => {
+                Verdict::Reply(echo) => {
                     if send(&self.socket, from, &echo.encode()).await.is_err() {
                         self.core.counters.send_failures += 1;
                     }
--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -34,7 +34,7 @@
     /// Send it on.
     Forward(Forward),
     /// Answer the sender with this echo.
-    Answer(Echo),
+    Reply(Echo),
     /// Nothing more to do; a counter tells why.
     Done,
 }
@@ -141,8 +141,10 @@
             return Verdict::Done;
         };
         let option = match inner.kind {
-            SegmentKind::Open | SegmentKind::Datagram => service.open(&inner.flow),
-            SegmentKind::Established { .. } => service.locate(&inner.flow, inner.timestamp_echo),
+            SegmentKind::Open | SegmentKind::Datagram => service.new_flow_option(&inner.flow),
+            SegmentKind::Established { .. } => {
+                service.existing_flow_option(&inner.flow, inner.timestamp_echo)
+            }
         };
         let vni = service.id().0;
         let inner_start = HEADROOM_BYTES + packet.inner_offset;
@@ -189,7 +191,7 @@
                 }
                 self.counters.echoes_answered += 1;
                 self.counters.control_bytes += ECHO_BYTES as u64;
-                Verdict::Answer(Echo { kind: EchoKind::Reply, sequence })
+                Verdict::Reply(Echo { kind: EchoKind::Reply, sequence })
             }
             Some(Echo { kind: EchoKind::Reply, .. }) => {
                 self.prober.on_reply(now, from);
--- a/crates/balancer/tests/allocations.rs
+++ b/crates/balancer/tests/allocations.rs
@@ -32,8 +32,8 @@
     let mut balancer = Balancer::new(ProbeSettings {
         interval: Duration::from_secs(1),
         timeout: Duration::from_millis(400),
-        misses: 3,
-        most_per_second: 10,
+        miss_threshold: 3,
+        max_per_second: 10,
     });
     balancer.adopt(Duration::ZERO, &configuration);
     let from: SocketAddrV4 = "10.0.0.1:6081".parse().expect("an address");
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -12,8 +12,8 @@
 const PROBING: ProbeSettings = ProbeSettings {
     interval: Duration::from_secs(1),
     timeout: Duration::from_millis(400),
-    misses: 3,
-    most_per_second: 10,
+    miss_threshold: 3,
+    max_per_second: 10,
 };
 
 fn fabric() -> SocketAddrV4 {
@@ -68,7 +68,7 @@
     assert_eq!(forward.to, "10.2.0.1:6081".parse().expect("an address"));
     let sent = GenevePacket::parse(&buffer[forward.start..forward.end]).expect("a packet");
     assert_eq!((sent.vni, sent.inner), (1, packet.as_slice()));
-    assert_eq!(sent.steering.map(|option| option.mode), Some(SteeringMode::Tour));
+    assert_eq!(sent.steering.map(|option| option.mode), Some(SteeringMode::Select));
 }
 
 #[test]
@@ -116,7 +116,7 @@
 fn a_draining_balancer_answers_no_echo_and_forwards_on() {
     let mut balancer = balancer();
     let echo = Echo { kind: EchoKind::Request, sequence: 9 }.encode();
-    assert!(matches!(handle(&mut balancer, &echo).0, Verdict::Answer(_)));
+    assert!(matches!(handle(&mut balancer, &echo).0, Verdict::Reply(_)));
     balancer.start_draining();
     assert_eq!(handle(&mut balancer, &echo).0, Verdict::Done);
     let packet = encode_packet(0, None, &tiles_syn());
--- a/crates/bench/benches/agent.rs
+++ b/crates/bench/benches/agent.rs
@@ -27,8 +27,8 @@
         cursor: 0,
         hops_left: 16,
         page: 0,
-        eligible: 1,
-        best: None,
+        eligible_count: 1,
+        least_loaded: None,
         epoch: 1,
         candidates,
     }
@@ -50,7 +50,7 @@
         let address = configuration.services["s0"].backends["b0"].agent;
         let mut agent = Agent::new(agent_settings()).expect("a chart");
         agent.adopt(Duration::ZERO, &configuration);
-        agent.handle_watch(Duration::ZERO, true);
+        agent.handle_health_check(Duration::ZERO, true);
         let mut bench = Bench {
             agent,
             address,
@@ -86,7 +86,7 @@
         self.callers[caller].poll(self.now);
         while let Some(packet) = self.callers[caller].take_packet() {
             let syn = packet[20 + 13] & 0x02 != 0;
-            let mode = if syn { SteeringMode::Tour } else { SteeringMode::Locate };
+            let mode = if syn { SteeringMode::Select } else { SteeringMode::Locate };
             let datagram = encode_packet(VNI, Some(&option(mode, self.address)), &packet);
             let start = Instant::now();
             self.agent.handle_datagram(self.now, self.address, &datagram);
--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -57,7 +57,7 @@
 fn decide(map: &SteeringMap, packet: &[u8]) -> SocketAddrV4 {
     let inner = parse_inner(packet).expect("a packet");
     let service = map.service(&inner.flow).expect("a service");
-    let option = black_box(service.locate(&inner.flow, inner.timestamp_echo));
+    let option = black_box(service.existing_flow_option(&inner.flow, inner.timestamp_echo));
     option.current().expect("a candidate").agent
 }
 
@@ -100,8 +100,8 @@
     let mut balancer = Balancer::new(ProbeSettings {
         interval: Duration::from_secs(1),
         timeout: Duration::from_secs(1),
-        misses: 3,
-        most_per_second: 1,
+        miss_threshold: 3,
+        max_per_second: 1,
     });
     balancer.adopt(Duration::ZERO, &configuration(SERVICES, BACKENDS));
     let fabric = SocketAddrV4::new([127, 0, 0, 1].into(), 1);
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -299,7 +299,7 @@
     /// What was counted so far, with the gauges of now.
     pub fn counters(&self, now: Duration) -> CarriedAgentCounters {
         CarriedAgentCounters {
-            flows: self.flows.busy() as u64,
+            flows: self.flows.active_flows() as u64,
             waiting: u64::from(self.waiting),
             in_line: self.line.len() as u64,
             peers: self.standing.membership.len() as u64,
--- a/crates/carried/src/agent/reports.rs
+++ b/crates/carried/src/agent/reports.rs
@@ -27,7 +27,8 @@
         if is_first {
             log::info!(
                 backend:% = report.incarnation, sequence = report.sequence,
-                warm_up_left_ms = report.warm_up_left.as_millis() as u64, flows = self.flows.busy();
+                warm_up_left_ms = report.warm_up_left.as_millis() as u64,
+                flows = self.flows.active_flows();
                 "backend_heard"
             );
         }
--- a/crates/flow/src/endpoint.rs
+++ b/crates/flow/src/endpoint.rs
@@ -102,7 +102,7 @@
 }
 
 /// Whether the TCP checksum of a whole IPv4 packet is right.
-pub fn segment_checksum_is_right(packet: &[u8]) -> bool {
+pub fn tcp_checksum_is_valid(packet: &[u8]) -> bool {
     let Ok(outer) = Ipv4Packet::new_checked(packet) else {
         return false;
     };
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -11,7 +11,7 @@
 mod splice;
 mod table;
 
-pub use endpoint::{Endpoint, EndpointSettings, Timestamps, segment_checksum_is_right};
+pub use endpoint::{Endpoint, EndpointSettings, Timestamps, tcp_checksum_is_valid};
 pub use lifecycle::{FlowChart, FlowEvent, FlowState, flow_chart};
 pub use splice::{SocketCommand, SocketEvent, SplicedFlow};
 pub use table::{Flow, FlowId, FlowTable};
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -102,7 +102,7 @@
     }
 
     /// Takes what the socket task reports.
-    pub fn on_socket(&mut self, now: Duration, event: SocketEvent) {
+    pub fn on_socket_event(&mut self, now: Duration, event: SocketEvent) {
         match event {
             SocketEvent::Opened => {
                 self.socket_open = true;
@@ -117,11 +117,11 @@
                 self.step(FlowEvent::Failed);
             }
         }
-        self.pump(now);
+        self.poll(now);
     }
 
     /// Does what is due at `now`: transfers bytes both ways and follows the chart.
-    pub fn pump(&mut self, now: Duration) {
+    pub fn poll(&mut self, now: Duration) {
         if self.handshake_is_late(now) {
             self.step(FlowEvent::Closed);
             return;
--- a/crates/flow/src/table.rs
+++ b/crates/flow/src/table.rs
@@ -35,7 +35,7 @@
     /// What the owner keeps of it.
     pub body: B,
     /// Whether it still burdens the back end; one that only waits for stray segments does not.
-    is_busy: bool,
+    is_active: bool,
     wake_at: Option<Duration>,
 }
 
@@ -53,7 +53,7 @@
     slots: Vec<Slot<B>>,
     free: Vec<usize>,
     wake_ups: BTreeSet<(Duration, FlowId)>,
-    busy: usize,
+    active_flows: usize,
 }
 
 impl<B> Default for FlowTable<B> {
@@ -63,7 +63,7 @@
             slots: Vec::new(),
             free: Vec::new(),
             wake_ups: BTreeSet::new(),
-            busy: 0,
+            active_flows: 0,
         }
     }
 }
@@ -107,9 +107,9 @@
         let slot = &mut self.slots[place];
         slot.generation = slot.generation.wrapping_add(1);
         let id = FlowId::new(place, slot.generation);
-        slot.flow = Some(Flow { key, body: make(id), is_busy: true, wake_at: None });
+        slot.flow = Some(Flow { key, body: make(id), is_active: true, wake_at: None });
         self.by_key.insert(key, id);
-        self.busy += 1;
+        self.active_flows += 1;
         id
     }
 
@@ -123,21 +123,21 @@
         };
         self.free.push(id.slot());
         self.by_key.remove(&flow.key);
-        self.busy -= usize::from(flow.is_busy);
+        self.active_flows -= usize::from(flow.is_active);
         if let Some(wake_at) = flow.wake_at {
             self.wake_ups.remove(&(wake_at, id));
         }
     }
 
     /// The flow burdens the back end no more.
-    pub fn release(&mut self, id: FlowId) {
-        let released = self.get_mut(id).is_some_and(|flow| std::mem::take(&mut flow.is_busy));
-        self.busy -= usize::from(released);
+    pub fn mark_inactive(&mut self, id: FlowId) {
+        let released = self.get_mut(id).is_some_and(|flow| std::mem::take(&mut flow.is_active));
+        self.active_flows -= usize::from(released);
     }
 
     /// How many flows burden the back end.
-    pub fn busy(&self) -> usize {
-        self.busy
+    pub fn active_flows(&self) -> usize {
+        self.active_flows
     }
 
     /// Has a flow woken no later than its deadline.
--- a/crates/lab/src/world/agents.rs
+++ b/crates/lab/src/world/agents.rs
@@ -39,8 +39,8 @@
                 Output::Transmit { to, datagram } => self.transmit(address, to, datagram),
                 Output::Socket { flow, command } => self.handle_command(address, flow, command),
                 Output::StartSocket { .. } => {}
-                Output::WatchBackend { .. } => {
-                    agent.core.handle_watch(self.now, agent.backend.accepts());
+                Output::OpenHealthCheck { .. } => {
+                    agent.core.handle_health_check(self.now, agent.backend.accepts());
                 }
                 Output::Ended { flow } => agent.backend.drop_connection(flow),
             }
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -29,7 +29,7 @@
         }
         while let Some(flow) = self.callers.pop_due(self.now) {
             if let Some(open) = self.callers.get_mut(flow) {
-                open.body.splice.pump(self.now);
+                open.body.splice.poll(self.now);
             }
             self.settle_caller(flow);
         }
@@ -43,7 +43,7 @@
         let id = self.next_request;
         self.next_request += 1;
         let request = open.body.caller.next_request(id, &mut self.outcome);
-        open.body.splice.on_socket(self.now, SocketEvent::Received(request));
+        open.body.splice.on_socket_event(self.now, SocketEvent::Received(request));
         self.settle_caller(flow);
     }
 
@@ -90,11 +90,11 @@
         let OpenFlow { splice, caller } = &mut open.body;
         match command {
             SocketCommand::Open => {
-                splice.on_socket(self.now, SocketEvent::Opened);
+                splice.on_socket_event(self.now, SocketEvent::Opened);
                 self.queue.push(self.now, Event::NextRequest(flow));
             }
             SocketCommand::Write(bytes) => {
-                splice.on_socket(self.now, SocketEvent::Written(bytes.len()));
+                splice.on_socket_event(self.now, SocketEvent::Written(bytes.len()));
                 match caller.receive(&bytes, &mut self.outcome) {
                     Progress::Waiting => {}
                     Progress::NextRequest => {
@@ -104,7 +104,7 @@
                     Progress::Finished => {
                         caller.finished = true;
                         self.outcome.flows_finished += 1;
-                        splice.on_socket(self.now, SocketEvent::Finished);
+                        splice.on_socket_event(self.now, SocketEvent::Finished);
                     }
                 }
             }
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -35,8 +35,8 @@
 const PROBING: ProbeSettings = ProbeSettings {
     interval: Duration::from_secs(1),
     timeout: Duration::from_millis(400),
-    misses: 3,
-    most_per_second: 40,
+    miss_threshold: 3,
+    max_per_second: 40,
 };
 const CALLER_BUFFER_BYTES: usize = 16 * 1024;
 
@@ -232,7 +232,7 @@
             return;
         };
         self.outcome.flows_lost += agent.core.flow_count() as u64;
-        agent.core.handle_watch(self.now, false);
+        agent.core.handle_health_check(self.now, false);
         for flow in agent.backend.kill() {
             agent.core.handle_socket(self.now, flow, SocketEvent::Failed);
         }
@@ -304,7 +304,7 @@
         let flow = self.callers.insert(key, OpenFlow { splice, caller });
         self.outcome.flows_opened += 1;
         if let Some(open) = self.callers.get_mut(flow) {
-            open.body.splice.pump(self.now);
+            open.body.splice.poll(self.now);
         }
         self.settle_caller(flow);
         flow
@@ -395,7 +395,7 @@
             Verdict::Forward(forward) => {
                 self.transmit(balancer, forward.to, buffer[forward.start..forward.end].to_vec());
             }
-            Verdict::Answer(echo) => self.transmit(balancer, from, echo.encode()),
+            Verdict::Reply(echo) => self.transmit(balancer, from, echo.encode()),
             Verdict::Done => {}
         }
         self.buffer = buffer;
--- a/crates/liveness/src/lib.rs
+++ b/crates/liveness/src/lib.rs
@@ -17,9 +17,9 @@
     /// Time to wait for an answer, and from a missed probe to the next.
     pub timeout: Duration,
     /// Probes missed in a row after which a peer is believed dead.
-    pub misses: u32,
+    pub miss_threshold: u32,
     /// Most probes sent in one second, over all peers.
-    pub most_per_second: u32,
+    pub max_per_second: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -82,12 +82,12 @@
         }
         let mut probes = Vec::new();
         for (address, peer) in &mut self.peers {
-            if peer.due > now || self.sent == self.settings.most_per_second {
+            if peer.due > now || self.sent == self.settings.max_per_second {
                 continue;
             }
             if peer.waiting.is_some() {
                 peer.missed += 1;
-                let dead = peer.missed >= self.settings.misses;
+                let dead = peer.missed >= self.settings.miss_threshold;
                 self.changed |= dead != peer.dead;
                 peer.dead = dead;
             }
@@ -119,7 +119,7 @@
     }
 
     /// The peers believed alive, in the order of their addresses.
-    pub fn living(&self) -> impl Iterator<Item = SocketAddrV4> {
+    pub fn alive_peers(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.peers.iter().filter(|(_, peer)| !peer.dead).map(|(address, _)| *address)
     }
 
--- a/crates/splice/src/lib.rs
+++ b/crates/splice/src/lib.rs
@@ -15,9 +15,9 @@
 #[derive(Debug)]
 pub enum SocketSource {
     /// TCP to this address.
-    DialTcp(SocketAddrV4),
+    ConnectTcp(SocketAddrV4),
     /// UDP to this address.
-    DialUdp(SocketAddrV4),
+    ConnectUdp(SocketAddrV4),
     /// A connection that was accepted.
     Accepted(TcpStream),
 }
@@ -43,10 +43,10 @@
     let (sender, commands) = mpsc::unbounded_channel();
     let reporter = Reporter { flow, events };
     match source {
-        SocketSource::DialTcp(server) => {
+        SocketSource::ConnectTcp(server) => {
             tokio::spawn(tcp::dial(server, commands, reporter));
         }
-        SocketSource::DialUdp(server) => {
+        SocketSource::ConnectUdp(server) => {
             tokio::spawn(udp::dial(server, commands, reporter));
         }
         SocketSource::Accepted(stream) => {
--- a/crates/standin/src/fabric.rs
+++ b/crates/standin/src/fabric.rs
@@ -9,7 +9,7 @@
 use etherparse::PacketBuilder;
 use loftdrift_flow::{
     Endpoint, EndpointSettings, FlowChart, FlowId, FlowState, FlowTable, SplicedFlow, Timestamps,
-    flow_chart, segment_checksum_is_right,
+    flow_chart, tcp_checksum_is_valid,
 };
 use loftdrift_liveness::{ProbeSettings, Prober};
 use loftdrift_splice::{CommandSender, FlowSocketEvent, SocketSource};
@@ -41,8 +41,8 @@
 const PROBING: ProbeSettings = ProbeSettings {
     interval: Duration::from_millis(100),
     timeout: Duration::from_millis(100),
-    misses: 3,
-    most_per_second: 10_000,
+    miss_threshold: 3,
+    max_per_second: 10_000,
 };
 
 /// A port on which callers reach a service.
@@ -282,7 +282,7 @@
             self.answer_datagram(&key, packet.inner, inner.transport_offset);
             return;
         }
-        let Some(flow) = self.flows.find(&key).filter(|_| segment_checksum_is_right(packet.inner))
+        let Some(flow) = self.flows.find(&key).filter(|_| tcp_checksum_is_valid(packet.inner))
         else {
             self.counters.unclaimed += 1;
             return;
@@ -326,7 +326,7 @@
             FabricFlow { splice, commands: loftdrift_splice::spawn(flow, source, events) }
         });
         if let Some(entry) = self.flows.get_mut(flow) {
-            entry.body.splice.pump(now);
+            entry.body.splice.poll(now);
         }
         self.settle(now, flow);
     }
@@ -344,7 +344,7 @@
     fn handle_socket(&mut self, event: FlowSocketEvent) {
         let now = self.now();
         if let Some(entry) = self.flows.get_mut(event.flow) {
-            entry.body.splice.on_socket(now, event.event);
+            entry.body.splice.on_socket_event(now, event.event);
         }
         self.settle(now, event.flow);
     }
@@ -353,7 +353,7 @@
         let now = self.now();
         while let Some(flow) = self.flows.pop_due(now) {
             if let Some(entry) = self.flows.get_mut(flow) {
-                entry.body.splice.pump(now);
+                entry.body.splice.poll(now);
             }
             self.settle(now, flow);
         }
@@ -395,7 +395,7 @@
             self.to_send.push((probe.to, probe.echo.encode()));
         }
         if self.prober.take_changed() {
-            self.living = self.prober.living().collect();
+            self.living = self.prober.alive_peers().collect();
             log::info!(balancers = self.living.len(); "balancers in use have changed");
         }
     }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -22,8 +22,8 @@
 //!     transport: Transport::Tcp,
 //! };
 //! let service = map.service(&flow).unwrap();
-//! let option = service.open(&flow);
-//! assert_eq!(option.mode, SteeringMode::Tour);
+//! let option = service.new_flow_option(&flow);
+//! assert_eq!(option.mode, SteeringMode::Select);
 //! assert_eq!(option.candidates.as_slice().len(), 1);
 //! ```
 
--- a/crates/steering/src/service.rs
+++ b/crates/steering/src/service.rs
@@ -21,7 +21,7 @@
 struct Bucket {
     length: u8,
     /// The first so many are of the newest generation.
-    eligible: u8,
+    eligible_count: u8,
     agents: [u16; MAX_CANDIDATES],
 }
 
@@ -120,7 +120,7 @@
             let best = best.map(|index| BackendId(generation.members[index].backend));
             best.filter_map(|backend| self.place(backend)).for_each(|agent| filled.push(agent));
             if age == 0 {
-                filled.eligible = filled.length;
+                filled.eligible_count = filled.length;
             }
         }
         // Flows older than the kept generations may live on any other back end.
@@ -154,7 +154,7 @@
     /// Others take the places of suspects. Behind the tour's candidates stands a reserve, suspects
     /// last: a datagram may be of a flow that lives there, and a SYN goes on to it when no candidate
     /// takes the flow.
-    pub fn open(&self, flow: &FlowKey) -> SteeringOption {
+    pub fn new_flow_option(&self, flow: &FlowKey) -> SteeringOption {
         let (bucket, _) = self.buckets(flow);
         let agents = bucket.agents();
         let mut candidates = CandidateList::new();
@@ -162,13 +162,17 @@
         let living = candidates.as_slice().len();
         self.push(&mut candidates, agents.iter().filter(|agent| !self.is_living(**agent)));
         let open_to = if living == 0 { agents.len() } else { living };
-        let eligible = open_to.min(usize::from(bucket.eligible));
-        self.option(SteeringMode::Tour, eligible, candidates)
+        let eligible_count = open_to.min(usize::from(bucket.eligible_count));
+        self.option(SteeringMode::Select, eligible_count, candidates)
     }
 
     /// The option of a packet of a flow that exists: the back end that its cookie names, then the
     /// candidates of every kept generation, newest first, suspects last.
-    pub fn locate(&self, flow: &FlowKey, timestamp_echo: Option<u32>) -> SteeringOption {
+    pub fn existing_flow_option(
+        &self,
+        flow: &FlowKey,
+        timestamp_echo: Option<u32>,
+    ) -> SteeringOption {
         let (bucket, other) = self.buckets(flow);
         let mut candidates = CandidateList::new();
         let named = timestamp_echo.and_then(|echo| FlowCookie::backend(echo, self.id));
@@ -225,7 +229,7 @@
     fn option(
         &self,
         mode: SteeringMode,
-        eligible: usize,
+        eligible_count: usize,
         candidates: CandidateList,
     ) -> SteeringOption {
         SteeringOption {
@@ -233,8 +237,8 @@
             cursor: 0,
             hops_left: MAX_HOPS,
             page: 0,
-            eligible: eligible as u8,
-            best: None,
+            eligible_count: eligible_count as u8,
+            least_loaded: None,
             epoch: self.epoch,
             candidates,
         }
--- a/crates/steering/tests/shares.rs
+++ b/crates/steering/tests/shares.rs
@@ -38,8 +38,8 @@
 /// Share of new flows whose candidates all stand on the right; a mixed tour fails.
 fn right_share(map: &SteeringMap) -> f64 {
     let is_right = |port: u16| {
-        let option = map.service(&flow(port)).expect("a service").open(&flow(port));
-        let eligible = &option.candidates.as_slice()[..usize::from(option.eligible)];
+        let option = map.service(&flow(port)).expect("a service").new_flow_option(&flow(port));
+        let eligible = &option.candidates.as_slice()[..usize::from(option.eligible_count)];
         let right = eligible.iter().filter(|one| one.backend >= FIRST_RIGHT).count();
         assert!(right == 0 || right == eligible.len(), "{option:?}");
         right > 0
@@ -64,9 +64,10 @@
     let mut after = before.clone();
     after.set_time(Duration::from_secs(2_000));
     for port in 0..FLOWS {
-        let opened = before.service(&flow(port)).expect("a service").open(&flow(port));
-        let found = after.service(&flow(port)).expect("a service").locate(&flow(port), None);
-        for candidate in &opened.candidates.as_slice()[..usize::from(opened.eligible)] {
+        let opened = before.service(&flow(port)).expect("a service").new_flow_option(&flow(port));
+        let found =
+            after.service(&flow(port)).expect("a service").existing_flow_option(&flow(port), None);
+        for candidate in &opened.candidates.as_slice()[..usize::from(opened.eligible_count)] {
             assert!(found.candidates.position(candidate.backend).is_some());
         }
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -19,6 +19,6 @@
 };
 pub use inner::{FlowKey, InnerError, InnerPacket, SegmentKind, Transport, parse_inner, reset_for};
 pub use steering_option::{
-    BackendId, Candidate, CandidateList, MAX_CANDIDATES, MAX_OPTION_BYTES, MAX_PAGES, OptionError,
-    ServiceId, SteeringMode, SteeringOption, TourBest,
+    BackendId, Candidate, CandidateList, LeastLoaded, MAX_CANDIDATES, MAX_OPTION_BYTES, MAX_PAGES,
+    OptionError, ServiceId, SteeringMode, SteeringOption,
 };
--- a/crates/wire/src/steering_option.rs
+++ b/crates/wire/src/steering_option.rs
@@ -41,14 +41,14 @@
     /// The flow exists: the first agent that knows it takes the packet.
     Locate,
     /// A new flow: every candidate adds its load, the last one hands the packet to the best.
-    Tour,
+    Select,
     /// The tour chose this agent: it opens the flow.
-    Place,
+    Open,
 }
 
 /// The least loaded candidate seen so far on a tour.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct TourBest {
+pub struct LeastLoaded {
     /// Its place in the candidate list.
     pub index: u8,
     /// Its load: open flows as a share of its weight, in units that only compare.
@@ -128,9 +128,9 @@
     /// How many lists before this one were asked in vain, at most [`MAX_PAGES`].
     pub page: u8,
     /// The first so many candidates may open new flows; the rest may only hold old ones.
-    pub eligible: u8,
+    pub eligible_count: u8,
     /// The best candidate seen on the tour.
-    pub best: Option<TourBest>,
+    pub least_loaded: Option<LeastLoaded>,
     /// The service's configuration epoch in which the balancer decided.
     pub epoch: u64,
     /// The agents to ask, in order.
@@ -163,10 +163,10 @@
     mode: u8,
     cursor: u8,
     hops_left: u8,
-    eligible: u8,
-    best_index: u8,
+    eligible_count: u8,
+    least_loaded_index: u8,
     length: u8,
-    best_load: u16,
+    least_load: u16,
     epoch: u64,
 }
 
@@ -184,8 +184,8 @@
     }
 
     /// Place of the best candidate seen on the tour.
-    pub fn best_index(&self) -> Option<u8> {
-        self.best.map(|best| best.index)
+    pub fn least_loaded_index(&self) -> Option<u8> {
+        self.least_loaded.map(|best| best.index)
     }
 
     /// Writes the body and returns its length in bytes, a multiple of 4.
@@ -194,10 +194,10 @@
             mode: self.mode as u8 | (self.page << PAGE_SHIFT),
             cursor: self.cursor,
             hops_left: self.hops_left,
-            eligible: self.eligible,
-            best_index: self.best.map_or(NO_BEST, |best| best.index),
+            eligible_count: self.eligible_count,
+            least_loaded_index: self.least_loaded.map_or(NO_BEST, |best| best.index),
             length: self.candidates.length,
-            best_load: self.best.map_or(0, |best| best.load),
+            least_load: self.least_loaded.map_or(0, |best| best.load),
             epoch: self.epoch,
         };
         let mut written = bincode::encode_into_slice(fixed, body, CODEC).unwrap_or(0);
@@ -248,14 +248,14 @@
         }
         let mode = match self.mode & MODE_MASK {
             0 => SteeringMode::Locate,
-            1 => SteeringMode::Tour,
-            2 => SteeringMode::Place,
+            1 => SteeringMode::Select,
+            2 => SteeringMode::Open,
             _ => return Err(OptionError::Mode),
         };
-        let best = (self.best_index != NO_BEST)
-            .then_some(TourBest { index: self.best_index, load: self.best_load });
-        let best_in_list = best.is_none_or(|best| best.index < self.length);
-        if self.cursor >= self.length || self.eligible > self.length || !best_in_list {
+        let least_loaded = (self.least_loaded_index != NO_BEST)
+            .then_some(LeastLoaded { index: self.least_loaded_index, load: self.least_load });
+        let index_in_list = least_loaded.is_none_or(|best| best.index < self.length);
+        if self.cursor >= self.length || self.eligible_count > self.length || !index_in_list {
             return Err(OptionError::Index);
         }
         Ok(SteeringOption {
@@ -263,8 +263,8 @@
             cursor: self.cursor,
             hops_left: self.hops_left,
             page,
-            eligible: self.eligible,
-            best,
+            eligible_count: self.eligible_count,
+            least_loaded,
             epoch: self.epoch,
             candidates,
         })
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -3,8 +3,8 @@
 use arbtest::arbitrary::{self, Unstructured};
 use loftdrift_testkit::check_fixed_seeds;
 use loftdrift_wire::{
-    BackendId, Candidate, CandidateList, Echo, EchoKind, FlowCookie, GenevePacket, MAX_PAGES,
-    MAX_VNI, ServiceId, SteeringMode, SteeringOption, TourBest, encode_packet, parse_inner,
+    BackendId, Candidate, CandidateList, Echo, EchoKind, FlowCookie, GenevePacket, LeastLoaded,
+    MAX_PAGES, MAX_VNI, ServiceId, SteeringMode, SteeringOption, encode_packet, parse_inner,
 };
 use std::net::SocketAddrV4;
 
@@ -16,15 +16,15 @@
         candidates.push(Candidate { backend: BackendId(input.arbitrary()?), agent });
     }
     let last = candidates.as_slice().len() as u8 - 1;
-    let modes = [SteeringMode::Locate, SteeringMode::Tour, SteeringMode::Place];
-    let best = TourBest { index: input.int_in_range(0..=last)?, load: input.arbitrary()? };
+    let modes = [SteeringMode::Locate, SteeringMode::Select, SteeringMode::Open];
+    let best = LeastLoaded { index: input.int_in_range(0..=last)?, load: input.arbitrary()? };
     Ok(SteeringOption {
         mode: *input.choose(&modes)?,
         cursor: input.int_in_range(0..=last)?,
         hops_left: input.arbitrary()?,
         page: input.int_in_range(0..=MAX_PAGES)?,
-        eligible: input.int_in_range(0..=last + 1)?,
-        best: input.arbitrary::<bool>()?.then_some(best),
+        eligible_count: input.int_in_range(0..=last + 1)?,
+        least_loaded: input.arbitrary::<bool>()?.then_some(best),
         epoch: input.arbitrary()?,
         candidates,
     })
@@ -65,7 +65,7 @@
         if let Ok(GenevePacket { steering: Some(option), .. }) = GenevePacket::parse(&datagram) {
             assert!(option.current().is_some());
             let length = option.candidates.as_slice().len();
-            assert!(option.best.is_none_or(|best| usize::from(best.index) < length));
+            assert!(option.least_loaded.is_none_or(|best| usize::from(best.index) < length));
         }
         Ok(())
     });
