--- a/crates/agent/src/admission.rs
+++ b/crates/agent/src/admission.rs
@@ -1,27 +1,29 @@
-//! Whether this agent takes a new flow, and what load it tells a tour.
+//! Admission control: whether this agent accepts a new flow, and the load it reports when the
+//! candidates for a new flow are compared.
 
 use crate::health::BackendHealth;
 use crate::offers::Offers;
 use loftdrift_configuration::{Backend, BackendState};
 use std::time::Duration;
 
-/// Loads compare in sixteenths of flows per slot.
+/// Loads are integers in units of 1/16 flow per slot.
 const LOAD_SCALE: f64 = 16.0;
-/// A back end that is joining, or has just come up, counts each flow so many times.
+/// Factor on the load of a back end that is joining or has just come up (slow start). It falls to 1
+/// over the warm-up.
 const COLD_LOAD_FACTOR: f64 = 2.0;
 
-/// Why no new flow is taken.
+/// Why a new flow is declined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Refusal {
     /// The back end is leaving or the agent is stopping.
     Leaving,
     /// The back end accepts no connections.
     Unreachable,
-    /// The back end holds as many flows as it may.
+    /// The back end has as many flows as its configured connection limit allows.
     Full,
 }
 
-/// What admission rests on besides the configuration.
+/// State that admission depends on, besides the configuration.
 #[derive(Debug)]
 pub(crate) struct Admission {
     pub(crate) health: BackendHealth,
@@ -40,12 +42,13 @@
         }
     }
 
-    /// The load with `busy` flows, in units that only compare.
+    /// The load with `active_flows` flows, in units of [`LOAD_SCALE`]. Only useful for comparison
+    /// with other agents' loads.
     pub(crate) fn load(
         &mut self,
         now: Duration,
         backend: &Backend,
-        busy: usize,
+        active_flows: usize,
     ) -> Result<u16, Refusal> {
         if self.stopping || !backend.state.takes_new_flows() {
             return Err(Refusal::Leaving);
@@ -53,16 +56,17 @@
         if !self.health.accepts() {
             return Err(Refusal::Unreachable);
         }
-        if busy as u64 >= u64::from(backend.connections) {
+        if active_flows as u64 >= u64::from(backend.connections) {
             return Err(Refusal::Full);
         }
-        let coldness = match backend.state {
+        let warm_up_left = match backend.state {
             BackendState::Joining => 1.0,
-            _ => self.health.coldness(now, self.ramp),
+            _ => self.health.warm_up_left(now, self.ramp),
         };
-        let factor = 1.0 + (COLD_LOAD_FACTOR - 1.0) * coldness;
-        // Counting the flow to come keeps a cold back end without flows from taking all new ones.
-        let flows = (busy + self.offers.count(now) + 1) as f64 * factor;
+        let factor = 1.0 + (COLD_LOAD_FACTOR - 1.0) * warm_up_left;
+        // The new flow is counted too. Otherwise a cold back end without flows would have load 0
+        // and attract all new flows.
+        let flows = (active_flows + self.offers.count(now) + 1) as f64 * factor;
         let load = flows * LOAD_SCALE / f64::from(backend.slots.max(1));
         Ok(load.min(f64::from(u16::MAX)) as u16)
     }
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -1,10 +1,10 @@
-//! The agent.
+//! The agent's state machine.
 
 use crate::admission::Admission;
+use crate::backend_spec::BackendSpec;
 use crate::counters::AgentCounters;
+use crate::forwarding::{self, Action};
 use crate::output::Output;
-use crate::pass_on::{self, Next};
-use crate::place::Place;
 use crate::settings::AgentSettings;
 use crate::udp::{self, UdpFlow};
 use crate::unknown::UnknownFlows;
@@ -24,39 +24,38 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A caller that does not acknowledge the SYN-ACK for so long is forgotten.
+/// A flow whose caller has not acknowledged the SYN-ACK after this time is removed.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A flow's protocol part.
 #[derive(Debug)]
 enum FlowBody {
     Tcp(Box<SplicedFlow>),
     Udp(UdpFlow),
 }
 
-/// An agent.
+/// An agent: the packets and flows of one back end.
 #[derive(Debug)]
 pub struct Agent {
     settings: AgentSettings,
     chart: Arc<FlowChart>,
     version: Version,
-    place: Option<Place>,
+    spec: Option<BackendSpec>,
     admission: Admission,
     flows: FlowTable<FlowBody>,
     unknown: UnknownFlows,
     outputs: VecDeque<Output>,
     sequence_seed: u64,
-    /// What was counted so far.
+    /// Counters since the start.
     pub counters: AgentCounters,
 }
 
 impl Agent {
-    /// An agent without configuration. Fails only when the built-in chart is broken.
+    /// Creates an agent without configuration. Fails only if the built-in state chart is invalid.
     pub fn new(settings: AgentSettings) -> Result<Self, Findings> {
         Ok(Agent {
             chart: Arc::new(flow_chart()?),
             version: Version::default(),
-            place: None,
+            spec: None,
             admission: Admission::new(settings.ramp),
             flows: FlowTable::default(),
             unknown: UnknownFlows::new(settings.unknown_grace),
@@ -67,7 +66,7 @@
         })
     }
 
-    /// Puts a configuration in force when it is newer than the one in force.
+    /// Applies a configuration if it is newer than the current one; returns whether it did.
     pub fn adopt(&mut self, now: Duration, configuration: &Configuration) -> bool {
         if configuration.version <= self.version {
             self.counters.configurations_passed_over += 1;
@@ -75,11 +74,11 @@
         }
         self.version = configuration.version;
         if let Some((service, backend)) = configuration.find_backend(&self.settings.backend) {
-            self.place = Some(Place::new(service, backend));
+            self.spec = Some(BackendSpec::new(service, backend));
             self.admission.health.start(now);
-        } else if let Some(place) = &mut self.place {
-            // Detached before its last flow has ended: it serves those to their end.
-            place.backend.state = BackendState::Leaving;
+        } else if let Some(spec) = &mut self.spec {
+            // Detached while it still has flows: it serves them until they end.
+            spec.backend.state = BackendState::Leaving;
         }
         self.counters.configurations_adopted += 1;
         self.counters.configuration_incarnation = self.version.incarnation;
@@ -87,86 +86,84 @@
         true
     }
 
-    /// The version in force.
+    /// Version of the current configuration.
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Whether the configuration in force names this agent's back end.
+    /// Whether a configuration has listed this agent's back end.
     pub fn is_placed(&self) -> bool {
-        self.place.is_some()
+        self.spec.is_some()
     }
 
-    /// Opens no new flows from now on.
+    /// Stops accepting new flows.
     pub fn start_draining(&mut self) {
         self.admission.stopping = true;
     }
 
-    /// How many flows burden the back end; those that only wait for stray segments do not.
+    /// Number of flows that load the back end. Closing and resetting flows are not counted.
     pub fn flow_count(&self) -> usize {
         self.flows.active_flows()
     }
 
-    /// The next thing to do.
+    /// Takes the next output for the embedder to carry out.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
 
-    /// When [`Agent::handle_timeout`] must be called next.
+    /// When [`Agent::handle_timeout`] must be called next, if at all.
     pub fn next_timeout(&self) -> Option<Duration> {
-        let deadlines = [self.flows.next_wake_up(), self.admission.health.next_watch()];
+        let deadlines = [self.flows.next_wake_up(), self.admission.health.next_check()];
         deadlines.into_iter().flatten().min()
     }
 
-    /// Does what is due at `now`.
+    /// Runs all timers that are due at `now`.
     pub fn handle_timeout(&mut self, now: Duration) {
-        if self.admission.health.take_due_watch(now) {
-            self.watch_backend(now);
+        if self.admission.health.take_due_check(now) {
+            self.check_backend(now);
         }
         while let Some(flow) = self.flows.pop_due(now) {
             match self.flows.get_mut(flow).map(|flow| &mut flow.body) {
                 Some(FlowBody::Tcp(splice)) => splice.poll(now),
-                Some(FlowBody::Udp(body)) if body.ends_at(self.settings.udp_idle) <= now => {
-                    self.end(flow);
+                Some(FlowBody::Udp(body)) if body.expires_at(self.settings.udp_idle) <= now => {
+                    self.remove_flow(flow);
                     continue;
                 }
                 Some(FlowBody::Udp(_)) => {}
                 None => {}
             }
-            self.settle(now, flow);
+            self.collect_outputs(now, flow);
         }
     }
 
-    fn watch_backend(&mut self, now: Duration) {
-        match &self.place {
-            Some(place) if place.transport == Transport::Tcp => {
-                self.outputs.push_back(Output::OpenHealthCheck { server: place.backend.server });
+    fn check_backend(&mut self, now: Duration) {
+        match &self.spec {
+            Some(spec) if spec.transport == Transport::Tcp => {
+                self.outputs.push_back(Output::OpenHealthCheck { server: spec.backend.server });
             }
-            // UDP has no connections to try.
-            _ => self.handle_health_check(now, true),
+            _ => self.handle_health_check(now, true), // UDP has no connections to check.
         }
     }
 
-    /// Takes what [`Output::WatchBackend`] asks for: the connection was accepted, or it was refused
-    /// or has ended.
+    /// Handles a health check report: whether the connection was accepted, or was refused or ended.
     pub fn handle_health_check(&mut self, now: Duration, accepts: bool) {
-        self.admission.health.on_watch(now, accepts);
+        self.admission.health.on_check_result(now, accepts);
         self.counters.backend_accepts = u64::from(accepts);
     }
 
-    /// Takes what a flow's socket task reports; reports of flows that are over are passed over.
+    /// Handles an event of a flow's socket task. Events of flows that have ended are ignored.
     pub fn handle_socket(&mut self, now: Duration, flow: FlowId, event: SocketEvent) {
         let Some(entry) = self.flows.get_mut(flow) else {
             return;
         };
-        let is_refused = match &entry.body {
+        let is_connecting = match &entry.body {
             FlowBody::Tcp(splice) => splice.state() == FlowState::Connecting,
             FlowBody::Udp(_) => false,
         };
         if event == SocketEvent::Failed {
             self.counters.flows_failed += 1;
         }
-        if event == SocketEvent::Failed && is_refused {
+        if event == SocketEvent::Failed && is_connecting {
             self.admission.health.on_refused(now);
             self.counters.backend_accepts = 0;
         }
@@ -174,18 +171,18 @@
             (FlowBody::Tcp(splice), event) => splice.on_socket_event(now, event),
             (FlowBody::Udp(body), SocketEvent::Received(payload)) => {
                 body.touch(now);
-                let answer = udp::answer(&entry.key, &payload);
-                if let Some(answer) = answer {
-                    self.answer(answer);
+                let reply = udp::reply_packet(&entry.key, &payload);
+                if let Some(reply) = reply {
+                    self.send_to_caller(reply);
                 }
             }
-            (FlowBody::Udp(_), SocketEvent::Failed) => return self.end(flow),
+            (FlowBody::Udp(_), SocketEvent::Failed) => return self.remove_flow(flow),
             (FlowBody::Udp(_), _) => {}
         }
-        self.settle(now, flow);
+        self.collect_outputs(now, flow);
     }
 
-    /// Takes a datagram that came from `from`.
+    /// Handles a datagram received from `from`.
     pub fn handle_datagram(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
         self.counters.received += 1;
         let packet = match GenevePacket::parse(datagram) {
@@ -195,11 +192,11 @@
         if packet.control {
             return self.handle_control(from, &packet);
         }
-        let Some(place) = &self.place else {
+        let Some(spec) = &self.spec else {
             self.counters.dropped_unconfigured += 1;
             return;
         };
-        if packet.vni != place.service_id.0 {
+        if packet.vni != spec.service_id.0 {
             self.counters.refused_other_service += 1;
             return;
         }
@@ -211,17 +208,17 @@
             Ok(inner) => inner,
             Err(error) => return self.counters.packets.count_inner(error),
         };
-        if inner.flow.service != place.address || inner.flow.transport != place.transport {
+        if inner.flow.service != spec.address || inner.flow.transport != spec.transport {
             self.counters.refused_other_service += 1;
             return;
         }
-        if !checksum_is_right(packet.inner, inner.flow.transport) {
+        if !transport_checksum_is_valid(packet.inner, inner.flow.transport) {
             self.counters.dropped_transport_checksum += 1;
             return;
         }
-        match self.holder(&inner) {
+        match self.local_flow(&inner) {
             Some(flow) => self.deliver(now, flow, &inner, packet.inner),
-            None => self.handle_foreign(now, &option, &inner, packet.inner),
+            None => self.handle_nonlocal(now, &option, &inner, packet.inner),
         }
     }
 
@@ -237,9 +234,9 @@
         }
     }
 
-    /// The flow that lives here and that the packet is of. During a handshake the acknowledgement
-    /// must be of this agent's own SYN: another candidate may have been offered the same flow.
-    fn holder(&self, inner: &InnerPacket) -> Option<FlowId> {
+    /// The packet's flow, if this agent owns it. During a handshake the packet must acknowledge
+    /// this agent's own SYN-ACK: another candidate may have been offered the same flow.
+    fn local_flow(&self, inner: &InnerPacket) -> Option<FlowId> {
         let id = self.flows.find(&inner.flow)?;
         let FlowBody::Tcp(splice) = &self.flows.get(id)?.body else {
             return Some(id);
@@ -249,8 +246,8 @@
             _ => return Some(id),
         };
         let in_handshake = splice.state() == FlowState::Handshake;
-        let mine = !in_handshake || splice.endpoint().acknowledges_handshake(acknowledgement);
-        mine.then_some(id)
+        let is_own = !in_handshake || splice.endpoint().acknowledges_handshake(acknowledgement);
+        is_own.then_some(id)
     }
 
     fn deliver(&mut self, now: Duration, flow: FlowId, inner: &InnerPacket, packet: &[u8]) {
@@ -267,10 +264,10 @@
                 self.outputs.push_back(Output::Socket { flow, command });
             }
         }
-        self.settle(now, flow);
+        self.collect_outputs(now, flow);
     }
 
-    fn handle_foreign(
+    fn handle_nonlocal(
         &mut self,
         now: Duration,
         option: &SteeringOption,
@@ -278,61 +275,63 @@
         packet: &[u8],
     ) {
         let next = match option.mode {
-            SteeringMode::Locate if self.cookie_names_me(inner) => {
+            SteeringMode::Locate if self.cookie_names_this_backend(inner) => {
                 return self.reset(inner, packet);
             }
             SteeringMode::Locate => {
-                pass_on::locate(option, inner, self.place.as_ref().map(|place| &place.table))
+                forwarding::locate(option, inner, self.spec.as_ref().map(|spec| &spec.table))
             }
             SteeringMode::Select => {
-                let load = self.tour_load(now, inner);
-                let table = self.place.as_ref().map(|place| &place.table);
-                let next = pass_on::tour(option, load, inner.kind, table);
-                if matches!(&next, Next::PassOn(_, on) if on.least_loaded_index() == Some(option.cursor))
-                {
-                    self.admission.offers.make(now);
+                let load = self.selection_load(now, inner);
+                let table = self.spec.as_ref().map(|spec| &spec.table);
+                let next = forwarding::select(option, load, inner.kind, table);
+                if matches!(
+                    &next,
+                    Action::Forward(_, on) if on.least_loaded_index() == Some(option.cursor)
+                ) {
+                    self.admission.offers.record(now);
                 }
                 next
             }
             SteeringMode::Open => match self.load(now) {
                 Some(_) => {
-                    self.admission.offers.take();
-                    Next::OpenHere
+                    self.admission.offers.complete();
+                    Action::OpenHere
                 }
-                None => pass_on::tour_again(option),
+                None => forwarding::restart_selection(option),
             },
         };
         match next {
-            Next::PassOn(candidate, option) => self.pass_on(candidate.agent, &option, packet),
-            Next::OpenHere => self.open(now, inner, packet),
-            Next::Refused => {
+            Action::Forward(candidate, option) => self.forward(candidate.agent, &option, packet),
+            Action::OpenHere => self.open_flow(now, inner, packet),
+            Action::Refuse => {
                 self.counters.opens_refused += 1;
                 self.send_reset(packet);
             }
-            Next::Unknown => self.handle_unknown(now, inner, packet),
-            Next::TooManyHops => self.counters.dropped_hops += 1,
+            Action::Unknown => self.handle_unknown_flow(now, inner, packet),
+            Action::HopLimitExceeded => self.counters.dropped_hops += 1,
         }
     }
 
-    fn pass_on(&mut self, to: SocketAddrV4, option: &SteeringOption, packet: &[u8]) {
-        let Some(place) = &self.place else { return };
+    fn forward(&mut self, to: SocketAddrV4, option: &SteeringOption, packet: &[u8]) {
+        let Some(spec) = &self.spec else { return };
         self.counters.passed_on += 1;
-        let datagram = encode_packet(place.service_id.0, Some(option), packet);
+        let datagram = encode_packet(spec.service_id.0, Some(option), packet);
         self.outputs.push_back(Output::Transmit { to, datagram });
     }
 
-    /// Whether the packet's cookie says that the flow can live nowhere but here.
-    fn cookie_names_me(&self, inner: &InnerPacket) -> bool {
-        let Some(place) = &self.place else {
+    /// Whether the cookie names this back end and the flow is not here, so that no agent owns it.
+    fn cookie_names_this_backend(&self, inner: &InnerPacket) -> bool {
+        let Some(spec) = &self.spec else {
             return false;
         };
         let named =
-            inner.timestamp_echo.and_then(|echo| FlowCookie::backend(echo, place.service_id));
-        named == Some(place.backend_id) && self.flows.find(&inner.flow).is_none()
+            inner.timestamp_echo.and_then(|echo| FlowCookie::backend(echo, spec.service_id));
+        named == Some(spec.backend_id) && self.flows.find(&inner.flow).is_none()
     }
 
-    fn handle_unknown(&mut self, now: Duration, inner: &InnerPacket, packet: &[u8]) {
-        if self.unknown.is_gone(now, inner.flow) {
+    fn handle_unknown_flow(&mut self, now: Duration, inner: &InnerPacket, packet: &[u8]) {
+        if self.unknown.should_reset(now, inner.flow) {
             self.reset(inner, packet);
         } else {
             self.counters.unknown_silent += 1;
@@ -349,14 +348,14 @@
 
     fn send_reset(&mut self, packet: &[u8]) {
         if let Some(reset) = reset_for(packet) {
-            self.answer(reset);
+            self.send_to_caller(reset);
         }
     }
 
-    /// This agent's load, `None` when it takes no new flow.
+    /// This agent's load; `None` if it accepts no new flow.
     fn load(&mut self, now: Duration) -> Option<u16> {
-        let place = self.place.as_ref()?;
-        let load = self.admission.load(now, &place.backend, self.flows.active_flows());
+        let spec = self.spec.as_ref()?;
+        let load = self.admission.load(now, &spec.backend, self.flows.active_flows());
         match load {
             Ok(load) => Some(load),
             Err(refusal) => {
@@ -366,9 +365,9 @@
         }
     }
 
-    /// The load that a tour compares. Datagrams of one flow must all choose alike, though loads
-    /// move between them, so every candidate that takes new flows says zero and the first wins.
-    fn tour_load(&mut self, now: Duration, inner: &InnerPacket) -> Option<u16> {
+    /// The load to compare with other candidates. For UDP it is zero: all datagrams of a flow must
+    /// select the same agent although loads change, so the first one that accepts new flows wins.
+    fn selection_load(&mut self, now: Duration, inner: &InnerPacket) -> Option<u16> {
         let load = self.load(now);
         match inner.kind {
             SegmentKind::Datagram => load.map(|_| 0),
@@ -376,12 +375,12 @@
         }
     }
 
-    fn open(&mut self, now: Duration, inner: &InnerPacket, packet: &[u8]) {
-        let Some(place) = &self.place else { return };
-        let server = place.backend.server;
-        let transport = place.transport;
+    fn open_flow(&mut self, now: Duration, inner: &InnerPacket, packet: &[u8]) {
+        let Some(spec) = &self.spec else { return };
+        let server = spec.backend.server;
+        let transport = spec.transport;
         let body = match transport {
-            Transport::Tcp => FlowBody::Tcp(Box::new(self.new_splice(now, &inner.flow, place))),
+            Transport::Tcp => FlowBody::Tcp(Box::new(self.new_splice(now, &inner.flow, spec))),
             Transport::Udp => FlowBody::Udp(UdpFlow::new(now)),
         };
         self.sequence_seed = self.sequence_seed.wrapping_mul(0x5851_F42D_4C95_7F2D).wrapping_add(1);
@@ -391,9 +390,9 @@
         self.deliver(now, flow, inner, packet);
     }
 
-    fn new_splice(&self, now: Duration, flow: &FlowKey, place: &Place) -> SplicedFlow {
+    fn new_splice(&self, now: Duration, flow: &FlowKey, spec: &BackendSpec) -> SplicedFlow {
         let timestamps = match self.settings.cookies {
-            true => Timestamps::Cookie(FlowCookie::new(place.service_id, place.backend_id)),
+            true => Timestamps::Cookie(FlowCookie::new(spec.service_id, spec.backend_id)),
             false => Timestamps::Off,
         };
         let settings = EndpointSettings {
@@ -405,15 +404,15 @@
         SplicedFlow::new(endpoint, Arc::clone(&self.chart), Some(now + HANDSHAKE_TIMEOUT))
     }
 
-    /// Collects what a flow wants done, and forgets it when it is over.
-    fn settle(&mut self, now: Duration, flow: FlowId) {
+    /// Queues a flow's packets and commands, and removes the flow once it has ended.
+    fn collect_outputs(&mut self, now: Duration, flow: FlowId) {
         let Some(entry) = self.flows.get_mut(flow) else {
             return;
         };
         let splice = match &mut entry.body {
             FlowBody::Tcp(splice) => splice,
             FlowBody::Udp(body) => {
-                let deadline = body.ends_at(self.settings.udp_idle);
+                let deadline = body.expires_at(self.settings.udp_idle);
                 self.flows.wake_by(flow, Some(deadline));
                 self.counters.flows = self.flows.active_flows() as u64;
                 return;
@@ -427,39 +426,39 @@
             self.outputs.push_back(Output::Socket { flow, command });
         }
         let gone = splice.state() == FlowState::Gone;
-        let released = matches!(splice.state(), FlowState::Closing | FlowState::Resetting);
+        let no_longer_active = matches!(splice.state(), FlowState::Closing | FlowState::Resetting);
         let deadline = splice.next_timeout(now);
         for packet in packets {
-            self.answer(packet);
+            self.send_to_caller(packet);
         }
         if gone {
-            self.end(flow);
+            self.remove_flow(flow);
         } else {
             self.flows.wake_by(flow, deadline);
         }
-        if released {
+        if no_longer_active {
             self.flows.mark_inactive(flow);
         }
         self.counters.flows = self.flows.active_flows() as u64;
     }
 
-    fn end(&mut self, flow: FlowId) {
+    fn remove_flow(&mut self, flow: FlowId) {
         self.flows.remove(flow);
         self.counters.flows_ended += 1;
         self.counters.flows = self.flows.active_flows() as u64;
         self.outputs.push_back(Output::Ended { flow });
     }
 
-    /// Sends an IPv4 packet straight back to the caller, through the fabric.
-    fn answer(&mut self, packet: Vec<u8>) {
+    /// Sends an IPv4 packet to the caller through the fabric, not through a balancer.
+    fn send_to_caller(&mut self, packet: Vec<u8>) {
         let datagram = encode_packet(0, None, &packet);
         self.outputs.push_back(Output::Transmit { to: self.settings.fabric, datagram });
     }
 }
 
-fn checksum_is_right(packet: &[u8], transport: Transport) -> bool {
+fn transport_checksum_is_valid(packet: &[u8], transport: Transport) -> bool {
     match transport {
         Transport::Tcp => tcp_checksum_is_valid(packet),
-        Transport::Udp => udp::datagram_checksum_is_right(packet),
+        Transport::Udp => udp::checksum_is_valid(packet),
     }
 }
--- a/crates/agent/src/place.rs
+++ b/crates/agent/src/backend_spec.rs
@@ -1,13 +1,13 @@
-//! Where the configuration puts this agent.
+//! The configuration's entry for this agent's back end.
 
 use loftdrift_configuration::{Backend, Service};
 use loftdrift_steering::ServiceTable;
 use loftdrift_wire::{BackendId, ServiceId, Transport};
 use std::net::SocketAddrV4;
 
-/// What the configuration says about this agent's back end.
+/// This agent's back end and its service, as configured.
 #[derive(Debug)]
-pub(crate) struct Place {
+pub(crate) struct BackendSpec {
     pub(crate) table: ServiceTable,
     pub(crate) backend: Backend,
     pub(crate) backend_id: BackendId,
@@ -16,9 +16,9 @@
     pub(crate) address: SocketAddrV4,
 }
 
-impl Place {
+impl BackendSpec {
     pub(crate) fn new(service: &Service, backend: &Backend) -> Self {
-        Place {
+        BackendSpec {
             table: ServiceTable::new(service),
             backend: backend.clone(),
             backend_id: BackendId(backend.id),
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,4 +1,4 @@
-//! What an agent counts.
+//! The agent's counters.
 
 use crate::admission::Refusal;
 use loftdrift_counters::{PacketDrops, counter_set};
@@ -8,9 +8,9 @@
     pub struct AgentCounters {
         /// Datagrams received.
         received,
-        /// Packets of flows that live here.
+        /// Packets of flows that this agent owns.
         delivered,
-        /// Packets passed on to the next candidate.
+        /// Packets forwarded to the agent of another candidate.
         passed_on,
         /// Flows opened here.
         flows_opened,
@@ -18,49 +18,49 @@
         flows_ended,
         /// Flows whose socket to the back end failed.
         flows_failed,
-        /// New flows refused, as no candidate takes any.
+        /// New flows refused with a reset because no candidate accepts new flows.
         opens_refused,
-        /// New flows passed over here because the back end is full.
+        /// New flows declined because the back end is at its connection limit.
         passed_over_full,
-        /// New flows passed over here because the back end accepts no connections.
+        /// New flows declined because the back end accepts no connections.
         passed_over_unreachable,
-        /// New flows passed over here because the back end is leaving or the agent is stopping.
+        /// New flows declined because the back end is leaving or the agent is stopping.
         passed_over_leaving,
-        /// Refused: the packet is of another service.
+        /// Dropped: the packet belongs to another service.
         refused_other_service,
-        /// Dropped: nobody knows the flow yet; answered with silence.
+        /// Dropped without a reset: no agent owns the flow, but the grace time has not passed.
         unknown_silent,
-        /// Resets sent for flows that nobody knows.
+        /// Resets sent because no agent owns the flow.
         unknown_reset,
-        /// Liveness echoes answered.
+        /// Liveness echo requests answered.
         echoes_answered,
         /// Dropped: wrong TCP or UDP checksum.
         dropped_transport_checksum,
-        /// Dropped: passed on too often.
+        /// Dropped: hop limit of agent-to-agent forwarding exceeded.
         dropped_hops,
-        /// Dropped: the back end is not in the configuration.
+        /// Dropped: no configuration has listed the back end yet.
         dropped_unconfigured,
-        /// Packets that the socket did not take.
+        /// Packets that the socket failed to send.
         send_failures,
         /// Bytes of liveness echoes sent and received.
         control_bytes,
-        /// Configurations adopted.
+        /// Configurations applied.
         configurations_adopted,
-        /// Configurations passed over as not newer.
+        /// Configurations ignored because they were not newer than the current one.
         configurations_passed_over,
     }
     gauges {
-        /// 1 when the back end accepts connections.
+        /// 1 if the back end accepts connections, else 0.
         backend_accepts,
-        /// Flows that live here.
+        /// Flows that load the back end; closing and resetting flows are not counted.
         flows,
-        /// Incarnation of the configuration in force.
+        /// Incarnation of the current configuration.
         configuration_incarnation,
-        /// Revision of the configuration in force.
+        /// Revision of the current configuration.
         configuration_revision,
     }
     includes {
-        /// Packets that do not decode.
+        /// Packets dropped because they do not decode.
         packets: PacketDrops,
     }
 }
--- a/crates/agent/src/health.rs
+++ b/crates/agent/src/health.rs
@@ -1,32 +1,33 @@
-//! Whether the back end beside this agent accepts connections.
+//! Health check: whether this agent's back end accepts connections.
 //!
-//! A dead back end has no flows and so the lowest load: without this check every tour would choose
-//! it. The embedder holds one idle connection to the back end: it opens one when
-//! [`BackendHealth::take_due_watch`] says so and reports when it is accepted and when it ends. A
-//! process that dies ends its connections at once, so there is no time in which a dead back end
-//! takes flows.
+//! A dead back end has no flows and so the lowest load: without this check it would be selected for
+//! every new flow. The embedder holds one idle TCP connection to the back end. It opens the
+//! connection when [`BackendHealth::take_due_check`] returns true, and reports when it is accepted
+//! and when it ends. A process that dies ends its connections at once, so a dead back end is never
+//! given flows.
 
 use std::time::Duration;
 
-/// Time from a refused connection to the next try.
+/// Time from a refused connection to the next attempt.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What is known of the back end.
+/// Health of the back end.
 #[derive(Debug, Default)]
 pub(crate) struct BackendHealth {
     accepts: bool,
-    /// When to open the watching connection; `None` while there is one or none is wanted yet.
-    next_watch: Option<Duration>,
+    /// When to open the health check connection; `None` while it is open or being opened, and
+    /// before [`BackendHealth::start`].
+    next_check: Option<Duration>,
     started: bool,
-    /// Since when the back end accepts connections without a break.
+    /// Since when the back end has accepted connections without interruption.
     accepts_since: Duration,
 }
 
 impl BackendHealth {
-    /// A back end that is known from now on; it takes no flow before it has accepted a connection.
+    /// Starts the health checks, once. The back end counts as down until it accepts a connection.
     pub(crate) fn start(&mut self, now: Duration) {
         if !std::mem::replace(&mut self.started, true) {
-            self.next_watch = Some(now);
+            self.next_check = Some(now);
         }
     }
 
@@ -34,8 +35,9 @@
         self.accepts
     }
 
-    /// How much of the ramp of a back end that has just come up is still before it, from 1 to 0.
-    pub(crate) fn coldness(&self, now: Duration, ramp: Duration) -> f64 {
+    /// Fraction of the warm-up that is left since the back end came up: 1 at its start, 0 after it.
+    /// `ramp` is the length of the warm-up.
+    pub(crate) fn warm_up_left(&self, now: Duration, ramp: Duration) -> f64 {
         let elapsed = now.saturating_sub(self.accepts_since);
         if elapsed >= ramp {
             return 0.0;
@@ -43,37 +45,40 @@
         1.0 - elapsed.as_secs_f64() / ramp.as_secs_f64()
     }
 
-    pub(crate) fn next_watch(&self) -> Option<Duration> {
-        self.next_watch
+    pub(crate) fn next_check(&self) -> Option<Duration> {
+        self.next_check
     }
 
-    /// Whether to open a watching connection now.
-    pub(crate) fn take_due_watch(&mut self, now: Duration) -> bool {
-        let due = self.next_watch.is_some_and(|next| next <= now);
+    /// Whether to open a health check connection now. Clears the timer if so.
+    pub(crate) fn take_due_check(&mut self, now: Duration) -> bool {
+        let due = self.next_check.is_some_and(|next| next <= now);
         if due {
-            self.next_watch = None;
+            self.next_check = None;
         }
         due
     }
 
-    /// The watching connection was accepted, or was refused or has ended.
+    /// Handles the result of a health check: the connection was accepted, or it was refused or has
+    /// ended.
     ///
-    /// One that ends may only have been idle too long: the next is tried at once.
-    pub(crate) fn on_watch(&mut self, now: Duration, accepted: bool) {
+    /// A connection that ends may only have hit the back end's idle timeout, so the next attempt
+    /// follows at once.
+    pub(crate) fn on_check_result(&mut self, now: Duration, accepted: bool) {
         if accepted && !self.accepts {
             self.accepts_since = now;
         }
         let ended = std::mem::replace(&mut self.accepts, accepted) && !accepted;
-        self.next_watch = match accepted {
+        self.next_check = match accepted {
             true => None,
             false if ended => Some(now),
             false => Some(now + RETRY_INTERVAL),
         };
     }
 
-    /// A flow's connection was refused: no more flows until a new watching connection is accepted.
+    /// Handles a flow's failed connection attempt: no more flows until a new health check
+    /// connection is accepted.
     pub(crate) fn on_refused(&mut self, now: Duration) {
         self.accepts = false;
-        self.next_watch = Some(now + RETRY_INTERVAL);
+        self.next_check = Some(now + RETRY_INTERVAL);
     }
 }
--- a/crates/agent/src/offers.rs
+++ b/crates/agent/src/offers.rs
@@ -1,41 +1,44 @@
-//! Offers of tours that are still under way.
+//! Offers: new flows that may still be assigned to this agent.
 //!
-//! Many flows may be opened at once, as when callers come back after a cut. Their tours pass within
-//! the time that one takes, and each would see the same load and choose the same back end. An
-//! agent therefore counts the tours that left it as the best so far, until they come back or have
-//! had time to.
+//! Many flows may be opened at once, for example when callers reconnect after a network failure.
+//! Their packets visit the candidates within the time that one selection takes, so all would see
+//! the same load and select the same back end. An agent therefore adds to its load each packet that
+//! it forwards as the least loaded candidate so far, until the packet comes back or the time for
+//! that has passed.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Longer than a tour takes between the zones of a region.
-const LIFETIME: Duration = Duration::from_millis(30);
-/// Most offers that are remembered.
-const MOST_OFFERS: usize = 4_096;
+/// Longer than a selection takes across the zones of a region.
+const OFFER_TTL: Duration = Duration::from_millis(30);
+/// Bound on memory; further offers are not counted.
+const MAX_OFFERS: usize = 4_096;
 
-/// The offers under way, oldest first.
+/// The open offers, by the time at which each was made.
 #[derive(Debug, Default)]
 pub(crate) struct Offers {
-    made_at: VecDeque<Duration>,
+    /// Oldest first.
+    sent_at: VecDeque<Duration>,
 }
 
 impl Offers {
+    /// Number of offers that have not expired. Removes the expired ones.
     pub(crate) fn count(&mut self, now: Duration) -> usize {
-        while self.made_at.front().is_some_and(|made_at| now.saturating_sub(*made_at) > LIFETIME) {
-            self.made_at.pop_front();
+        while self.sent_at.front().is_some_and(|sent_at| now.saturating_sub(*sent_at) > OFFER_TTL) {
+            self.sent_at.pop_front();
         }
-        self.made_at.len()
+        self.sent_at.len()
     }
 
-    /// A tour left this agent as the best so far.
-    pub(crate) fn make(&mut self, now: Duration) {
-        if self.made_at.len() < MOST_OFFERS {
-            self.made_at.push_back(now);
+    /// A new flow's packet was forwarded with this agent as the least loaded so far.
+    pub(crate) fn record(&mut self, now: Duration) {
+        if self.sent_at.len() < MAX_OFFERS {
+            self.sent_at.push_back(now);
         }
     }
 
-    /// A tour came back.
-    pub(crate) fn take(&mut self) {
-        self.made_at.pop_front();
+    /// A packet came back to open its flow here: its offer is settled.
+    pub(crate) fn complete(&mut self) {
+        self.sent_at.pop_front();
     }
 }
--- a/crates/agent/src/output.rs
+++ b/crates/agent/src/output.rs
@@ -1,20 +1,20 @@
-//! What an agent asks of its embedder.
+//! Outputs of the agent's core, which the embedder carries out.
 
 use loftdrift_flow::{FlowId, SocketCommand};
 use loftdrift_wire::Transport;
 use std::net::SocketAddrV4;
 
-/// What the embedder does next.
+/// An action for the embedder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// Send a datagram.
     Transmit {
-        /// To this address.
+        /// Destination address.
         to: SocketAddrV4,
         /// The datagram.
         datagram: Vec<u8>,
     },
-    /// Start a socket task for a flow; it dials the back end at this address.
+    /// Start a socket task for a flow. The task connects to the back end at this address.
     StartSocket {
         /// The flow.
         flow: FlowId,
@@ -23,7 +23,9 @@
         /// TCP or UDP.
         transport: Transport,
     },
-    /// Try a TCP connection to the back end and report to [`Agent::handle_probe`].
+    /// Open an idle TCP connection to the back end, in place of any earlier one. Report to
+    /// [`Agent::handle_health_check`](crate::Agent::handle_health_check) when it is accepted, and
+    /// when it is refused or ends.
     OpenHealthCheck {
         /// The back end.
         server: SocketAddrV4,
@@ -35,7 +37,7 @@
         /// The command.
         command: SocketCommand,
     },
-    /// The flow is over; drop what belongs to it.
+    /// The flow has ended: drop its socket task.
     Ended {
         /// The flow.
         flow: FlowId,
--- a/crates/agent/src/udp.rs
+++ b/crates/agent/src/udp.rs
@@ -1,4 +1,5 @@
-//! UDP flows: datagrams with the same addresses, for as long as they keep coming.
+//! UDP flows: a flow is the datagrams with the same addresses and ends when it has been idle for
+//! too long.
 
 use etherparse::PacketBuilder;
 use loftdrift_wire::FlowKey;
@@ -8,7 +9,7 @@
 const HOP_LIMIT: u8 = 64;
 const UDP_HEADER_BYTES: usize = 8;
 
-/// A UDP flow.
+/// State of a UDP flow.
 #[derive(Debug)]
 pub(crate) struct UdpFlow {
     last_packet: Duration,
@@ -23,13 +24,13 @@
         self.last_packet = now;
     }
 
-    pub(crate) fn ends_at(&self, idle: Duration) -> Duration {
+    pub(crate) fn expires_at(&self, idle: Duration) -> Duration {
         self.last_packet + idle
     }
 }
 
-/// Whether the UDP checksum of a whole IPv4 packet is right; zero means that there is none.
-pub(crate) fn datagram_checksum_is_right(packet: &[u8]) -> bool {
+/// Whether the UDP checksum of a complete IPv4 packet is valid. Zero means that there is none.
+pub(crate) fn checksum_is_valid(packet: &[u8]) -> bool {
     let Ok(outer) = Ipv4Packet::new_checked(packet) else {
         return false;
     };
@@ -40,13 +41,13 @@
         || datagram.verify_checksum(&outer.src_addr().into(), &outer.dst_addr().into())
 }
 
-/// The datagram's content.
+/// The datagram's payload.
 pub(crate) fn payload(packet: &[u8], transport_offset: usize) -> &[u8] {
     packet.get(transport_offset + UDP_HEADER_BYTES..).unwrap_or_default()
 }
 
-/// The IPv4 packet that carries an answer to a flow's caller.
-pub(crate) fn answer(flow: &FlowKey, payload: &[u8]) -> Option<Vec<u8>> {
+/// Builds the IPv4 packet that carries the back end's `payload` to the flow's caller.
+pub(crate) fn reply_packet(flow: &FlowKey, payload: &[u8]) -> Option<Vec<u8>> {
     let from = flow.service;
     let to = flow.caller;
     let builder = PacketBuilder::ipv4(from.ip().octets(), to.ip().octets(), HOP_LIMIT)
--- a/crates/agent/src/unknown.rs
+++ b/crates/agent/src/unknown.rs
@@ -1,17 +1,17 @@
-//! Flows that no candidate knows.
+//! Flows that no candidate owns.
 //!
-//! A flow may be unknown because it is gone, or because the nodes that its packet passed do not
-//! have the newest configuration yet. Silence makes the caller's TCP send again, which succeeds
-//! once the configuration has arrived; only a flow that stays unknown is reset.
+//! A flow may be unknown because it has ended, or because the nodes that its packet passed do not
+//! have the newest configuration yet. Dropping the packet makes the caller's TCP retransmit, which
+//! succeeds once the configuration has arrived. Only a flow that stays unknown is reset.
 
 use loftdrift_wire::FlowKey;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Most unknown flows that are remembered; further ones meet silence.
-const MOST_REMEMBERED: usize = 4_096;
+/// Bound on memory: packets of further unknown flows are dropped without a reset.
+const MAX_FLOWS: usize = 4_096;
 
-/// Remembers since when flows are unknown.
+/// The unknown flows and since when they have been unknown.
 #[derive(Debug)]
 pub(crate) struct UnknownFlows {
     grace: Duration,
@@ -24,8 +24,8 @@
         UnknownFlows { grace, first_seen: HashMap::new(), next_sweep: Duration::ZERO }
     }
 
-    /// Whether a packet of an unknown flow is to be answered with a reset.
-    pub(crate) fn is_gone(&mut self, now: Duration, flow: FlowKey) -> bool {
+    /// Whether to answer a packet of an unknown flow with a reset.
+    pub(crate) fn should_reset(&mut self, now: Duration, flow: FlowKey) -> bool {
         self.sweep(now);
         if let Some(first_seen) = self.first_seen.get(&flow) {
             if now.saturating_sub(*first_seen) < self.grace {
@@ -34,14 +34,14 @@
             self.first_seen.remove(&flow);
             return true;
         }
-        if self.first_seen.len() < MOST_REMEMBERED {
+        if self.first_seen.len() < MAX_FLOWS {
             self.first_seen.insert(flow, now);
         }
         self.grace.is_zero()
     }
 
-    /// Forgets flows whose callers have given up: a caller's retries double their distance, so one
-    /// that is alive comes back within three times the grace.
+    /// Removes flows whose callers have given up. A caller's retransmission interval doubles each
+    /// time, so a caller that is alive sends again within three times the grace time.
     fn sweep(&mut self, now: Duration) {
         if now < self.next_sweep {
             return;
--- a/crates/agent/tests/limits.rs
+++ b/crates/agent/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What an agent refuses, bounds and counts.
+//! What an agent declines or drops, how it counts it, and which limits it keeps.
 
 use etherparse::PacketBuilder;
 use loftdrift_agent::{Agent, AgentSettings, Output};
@@ -78,7 +78,7 @@
     agent.handle_datagram(now, address("10.1.0.1:6081"), &datagram);
 }
 
-/// Resets among the packets that the agent sends back.
+/// Takes all outputs and counts the TCP resets among the packets in them.
 fn resets(agent: &mut Agent) -> usize {
     const RST: u8 = 0x04;
     const FLAGS: usize = 20 + 13;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_full_back_end_takes_nothing_more_and_says_so() {
+fn a_full_back_end_declines_new_flows_and_counts_them() {
     let mut agent = agent(2);
     for port in 4_000..4_003 {
         send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(port, SERVICE));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_handshake_that_is_never_finished_is_forgotten() {
+fn a_handshake_that_is_never_finished_is_removed_without_reset() {
     let mut agent = agent(10);
     send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.flow_count(), 1);
@@ -128,14 +128,14 @@
 }
 
 #[test]
-fn an_acknowledgement_of_another_agents_handshake_is_passed_on() {
+fn an_acknowledgement_of_another_agents_handshake_is_forwarded() {
     let mut agent = agent(10);
     send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(resets(&mut agent), 0);
     let other = Candidate { backend: BackendId(2), agent: address("10.2.0.2:6081") };
     let mut option = option(SteeringMode::Locate);
     option.candidates.push(other);
-    // The caller acknowledges a SYN-ACK that this agent has not sent.
+    // The caller acknowledges a SYN-ACK that this agent did not send.
     let datagram = encode_packet(TILES_VNI, Some(&option), &data(4_000));
     agent.handle_datagram(Duration::ZERO, address("10.1.0.1:6081"), &datagram);
     let Some(Output::Transmit { to, datagram }) = agent.take_output() else {
@@ -158,8 +158,9 @@
     assert_eq!(agent.counters.flows_opened, 1);
 }
 
-/// The load that the agent writes into a tour that goes on to another candidate.
-fn told_load(agent: &mut Agent, now: Duration) -> u16 {
+/// The load that the agent writes into a SYN's steering option before it forwards the SYN to
+/// another candidate.
+fn reported_load(agent: &mut Agent, now: Duration) -> u16 {
     let mut option = option(SteeringMode::Select);
     let other = Candidate { backend: BackendId(2), agent: address("10.2.0.2:6081") };
     option.candidates.push(other);
@@ -169,24 +170,24 @@
     let Some(Output::Transmit { datagram, .. }) = agent.take_output() else {
         panic!("the packet was kept")
     };
-    let passed_on = GenevePacket::parse(&datagram).expect("a packet").steering;
-    passed_on.and_then(|option| option.least_loaded).expect("a load").load
+    let forwarded = GenevePacket::parse(&datagram).expect("a packet").steering;
+    forwarded.and_then(|option| option.least_loaded).expect("a load").load
 }
 
 #[test]
-fn a_back_end_that_has_come_up_works_up_to_its_full_share() {
+fn the_load_factor_of_a_back_end_that_has_come_up_falls_during_its_warm_up() {
     let mut agent = agent(10);
     let seconds = Duration::from_secs;
-    let loads = [0, 5, 10, 60].map(|at| told_load(&mut agent, seconds(at)));
+    let loads = [0, 5, 10, 60].map(|at| reported_load(&mut agent, seconds(at)));
     assert!(loads[0] > loads[1] && loads[1] > loads[2], "{loads:?}");
     assert_eq!((loads[0], loads[3]), (2 * loads[2], loads[2]));
     agent.handle_health_check(seconds(60), false);
     agent.handle_health_check(seconds(61), true);
-    assert_eq!(told_load(&mut agent, seconds(61)), loads[0]);
+    assert_eq!(reported_load(&mut agent, seconds(61)), loads[0]);
 }
 
 #[test]
-fn a_doubled_syn_opens_one_flow() {
+fn a_retransmitted_syn_opens_no_second_flow() {
     let mut agent = agent(10);
     for _ in 0..3 {
         send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn an_unknown_flow_meets_silence_and_then_a_reset() {
+fn an_unknown_flow_is_reset_only_after_the_grace_time() {
     let mut agent = agent(10);
     let packet = data(4_000);
     send(&mut agent, Duration::from_secs(1), TILES_VNI, SteeringMode::Locate, &packet);
