--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -1,4 +1,4 @@
-//! The forwarding core.
+//! The balancer's forwarding path.
 
 use crate::counters::BalancerCounters;
 use loftdrift_configuration::{Configuration, Version};
@@ -11,35 +11,36 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Free space that must stand before each received datagram, in bytes.
+/// Free space that the buffer must have in front of each received datagram, in bytes. The balancer
+/// writes the new GENEVE header there.
 pub const HEADROOM_BYTES: usize = GENEVE_HEADER_BYTES + 4 + MAX_OPTION_BYTES;
 
-/// Largest inner packet that is forwarded: a jumbo frame's, in bytes.
+/// Largest inner packet that is forwarded, in bytes: that of a jumbo frame.
 pub const MAX_INNER_BYTES: usize = 9_000;
 
-/// A datagram to send: `buffer[start..end]` to `to`.
+/// A datagram to send: `buffer[start..end]`, to the address `to`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Forward {
-    /// The agent.
+    /// Address of the agent.
     pub to: SocketAddrV4,
-    /// Where the datagram starts in the buffer.
+    /// Offset of the datagram's first byte in the buffer.
     pub start: usize,
-    /// Where it ends.
+    /// Offset behind the datagram's last byte.
     pub end: usize,
 }
 
-/// What becomes of a datagram.
+/// What to do with a received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Send it on.
+    /// Forward it.
     Forward(Forward),
-    /// Answer the sender with this echo.
+    /// Reply to the sender with this echo.
     Reply(Echo),
-    /// Nothing more to do; a counter tells why.
+    /// Nothing to send: the datagram was dropped, which a counter shows, or was a liveness reply.
     Done,
 }
 
-/// A balancer.
+/// A balancer: forwards callers' packets to agents and keeps no state per flow.
 #[derive(Debug)]
 pub struct Balancer {
     map: SteeringMap,
@@ -47,12 +48,12 @@
     draining: bool,
     /// The time since the Unix epoch at the last tick.
     unix_now: Duration,
-    /// What was counted so far.
+    /// Counters since the start.
     pub counters: BalancerCounters,
 }
 
 impl Balancer {
-    /// A balancer without configuration.
+    /// Creates a balancer without configuration.
     pub fn new(probing: ProbeSettings) -> Self {
         Balancer {
             map: SteeringMap::default(),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Puts a configuration in force when it is newer than the one in force.
+    /// Applies a configuration if it is newer than the current one; returns whether it did.
     pub fn adopt(&mut self, now: Duration, configuration: &Configuration) -> bool {
         if configuration.version <= self.map.version() {
             self.counters.configurations_passed_over += 1;
@@ -79,18 +80,19 @@
         true
     }
 
-    /// The version in force.
+    /// Version of the current configuration.
     pub fn version(&self) -> Version {
         self.map.version()
     }
 
-    /// Stops answering liveness echoes, so that the fabric turns away; forwarding goes on.
+    /// Stops answering liveness echoes, so that the fabric stops sending packets here. Packets that
+    /// still arrive are forwarded.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Moves shifts between sites on and returns the probes to send now. Call it about every 100 ms
-    /// with the time since the Unix epoch as well.
+    /// Updates the shares of new flows in running shifts between sites, and returns the liveness
+    /// probes to send now. Call it about every 100 ms. `unix_now` is the time since the Unix epoch.
     pub fn tick(&mut self, now: Duration, unix_now: Duration) -> Vec<loftdrift_liveness::Probe> {
         self.unix_now = unix_now;
         self.map.set_time(unix_now);
@@ -102,7 +104,7 @@
         probes
     }
 
-    /// Handles the datagram in `buffer[HEADROOM_BYTES..end]` that came from `from`.
+    /// Handles the datagram in `buffer[HEADROOM_BYTES..end]`, received from `from`.
     pub fn handle(
         &mut self,
         now: Duration,
@@ -141,7 +143,7 @@
             return Verdict::Done;
         };
         let option = match inner.kind {
-            SegmentKind::Open | SegmentKind::Datagram => service.new_flow_option(&inner.flow),
+            SegmentKind::Syn | SegmentKind::Datagram => service.new_flow_option(&inner.flow),
             SegmentKind::Established { .. } => {
                 service.existing_flow_option(&inner.flow, inner.timestamp_echo)
             }
@@ -151,7 +153,7 @@
         let by_cookie = inner
             .timestamp_echo
             .is_some_and(|echo| FlowCookie::backend(echo, service.id()).is_some());
-        self.counters.forwarded_opens += u64::from(inner.kind == SegmentKind::Open);
+        self.counters.forwarded_opens += u64::from(inner.kind == SegmentKind::Syn);
         self.counters.forwarded_by_cookie += u64::from(by_cookie);
         self.encapsulate(buffer, inner_start, end, vni, &option)
     }
--- a/crates/balancer/src/counters.rs
+++ b/crates/balancer/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a balancer counts.
+//! The balancer's counters.
 
 use loftdrift_counters::{PacketDrops, counter_set};
 
@@ -7,41 +7,41 @@
     pub struct BalancerCounters {
         /// Datagrams received.
         received,
-        /// Packets sent on to an agent.
+        /// Packets forwarded to an agent.
         forwarded,
-        /// Packets that opened a flow.
+        /// SYNs for known services: packets that open a TCP flow.
         forwarded_opens,
-        /// Packets whose cookie named the back end.
+        /// Packets whose flow cookie named a back end of their service.
         forwarded_by_cookie,
-        /// Liveness echoes answered.
+        /// Liveness echo requests answered.
         echoes_answered,
-        /// Liveness echoes left unanswered while draining.
+        /// Liveness echo requests not answered: while draining, and before the first configuration.
         echoes_unanswered,
-        /// Dropped: no service at that address.
+        /// Dropped: no service has the destination address.
         dropped_unknown_service,
-        /// Dropped: the service has no back end that could hold the flow.
+        /// Dropped: the service has no back end that may own the flow.
         dropped_no_candidate,
-        /// Dropped: longer than a datagram may be.
+        /// Dropped: larger than the largest packet that is forwarded.
         dropped_oversized,
-        /// Packets that the socket did not take.
+        /// Packets that the socket failed to send.
         send_failures,
         /// Bytes of liveness echoes sent and received.
         control_bytes,
-        /// Configurations adopted.
+        /// Configurations applied.
         configurations_adopted,
-        /// Configurations passed over as not newer.
+        /// Configurations ignored because they were not newer than the current one.
         configurations_passed_over,
     }
     gauges {
-        /// Incarnation of the configuration in force.
+        /// Incarnation of the current configuration.
         configuration_incarnation,
-        /// Revision of the configuration in force.
+        /// Revision of the current configuration.
         configuration_revision,
-        /// Agents believed dead.
+        /// Agents that this balancer suspects to be dead.
         suspects,
     }
     includes {
-        /// Packets that do not decode.
+        /// Packets dropped because they do not decode.
         packets: PacketDrops,
     }
 }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,8 +1,8 @@
-//! The balancer's core, without I/O or clock: from a datagram to where it goes next.
+//! The balancer's core, without I/O or clock: decides where each datagram goes next.
 //!
-//! The embedder receives each datagram behind [`HEADROOM_BYTES`] of free space and hands the buffer
-//! to [`Balancer::handle`], which writes the new header into that space. Nothing is kept per flow
-//! and nothing is allocated per packet.
+//! The embedder receives each datagram into a buffer, behind [`HEADROOM_BYTES`] of free space, and
+//! passes the buffer to [`Balancer::handle`], which writes the new header into that space. The core
+//! keeps no state per flow and allocates nothing per packet.
 
 mod core;
 mod counters;
--- a/crates/balancer/tests/allocations.rs
+++ b/crates/balancer/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! Forwarding allocates nothing.
+//! Guards against memory allocation on the forwarding path.
 
 use etherparse::PacketBuilder;
 use loftdrift_balancer::{Balancer, HEADROOM_BYTES, Verdict};
@@ -21,7 +21,8 @@
     encode_packet(0, None, &packet)
 }
 
-// The only test of its binary: nothing else may allocate meanwhile.
+// Must stay the only test of this binary: the allocator counts for the whole process, and a second
+// test would allocate at the same time.
 #[test]
 fn a_packet_is_forwarded_without_allocation() {
     let script = "create service tiles at 10.20.0.1:80\n\
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Every kind of bad datagram is dropped under its own counter.
+//! Every kind of invalid datagram is dropped and counted by its own counter.
 
 use etherparse::PacketBuilder;
 use loftdrift_balancer::{Balancer, BalancerCounters, HEADROOM_BYTES, MAX_INNER_BYTES, Verdict};
@@ -49,7 +49,7 @@
     syn([10, 20, 0, 1], &[])
 }
 
-/// Asserts that the datagram is dropped and that exactly the named counter has risen.
+/// Asserts that the datagram is dropped and not forwarded, and that `counter` has risen by one.
 fn assert_dropped(datagram: &[u8], counter: fn(&BalancerCounters) -> u64) {
     let mut balancer = balancer();
     let before = balancer.counters;
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn an_unknown_option_that_is_not_critical_is_passed_over() {
+fn an_unknown_option_that_is_not_critical_is_skipped() {
     let good = encode_packet(0, None, &tiles_syn());
     let mut optional = good[..8].to_vec();
     optional[0] = 1;
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_draining_balancer_answers_no_echo_and_forwards_on() {
+fn a_draining_balancer_answers_no_echo_and_still_forwards() {
     let mut balancer = balancer();
     let echo = Echo { kind: EchoKind::Request, sequence: 9 }.encode();
     assert!(matches!(handle(&mut balancer, &echo).0, Verdict::Reply(_)));
@@ -149,7 +149,7 @@
     });
 }
 
-/// The packet with the *more fragments* flag and a right checksum.
+/// A SYN packet with the *more fragments* flag and a valid IPv4 header checksum.
 fn fragment() -> Vec<u8> {
     let mut packet = tiles_syn();
     packet[6] |= 0x20;
--- a/crates/flow/src/endpoint.rs
+++ b/crates/flow/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! A TCP endpoint for exactly one flow.
+//! A TCP endpoint for exactly one flow, on top of `smoltcp`.
 
 use bytes::Bytes;
 use loftdrift_wire::{FlowCookie, FlowKey};
@@ -11,43 +11,44 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Largest IPv4 packet that an endpoint sends, in bytes.
+/// Largest IPv4 packet that an endpoint sends.
 const MTU_BYTES: usize = 1_500;
-/// A peer from which nothing comes for so long is given up.
+/// The connection is aborted after this time without a packet from the peer.
 const SILENCE_TIMEOUT: smoltcp::time::Duration = smoltcp::time::Duration::from_secs(120);
-/// An idle peer is asked for a sign of life so often: two may be lost before it is given up.
+/// Interval of TCP keep-alive probes on an idle connection. Two of them may be lost before
+/// [`SILENCE_TIMEOUT`].
 const KEEP_ALIVE_INTERVAL: smoltcp::time::Duration = smoltcp::time::Duration::from_secs(35);
 const PREFIX_BITS: u8 = 32;
 
 thread_local! {
-    /// The TSval of segments that are sent now. The library takes a plain function as generator,
-    /// so the value is set before each poll; a poll never yields to another flow's.
+    /// The TSval of the segments of the current poll. `smoltcp` takes a plain function as its
+    /// generator, so the value is set before each poll. No other flow can run during a poll.
     static TIMESTAMP_VALUE: Cell<u32> = const { Cell::new(0) };
 }
 
 /// Which TCP timestamps (RFC 7323) an endpoint sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timestamps {
-    /// The flow's cookie in every segment, when the peer offers timestamps.
+    /// The flow's cookie in every segment, if the peer offers timestamps.
     Cookie(FlowCookie),
-    /// Milliseconds of the clock.
+    /// The clock in milliseconds.
     Clock,
     /// None.
     Off,
 }
 
-/// How an endpoint is made.
+/// Settings of an endpoint.
 #[derive(Clone, Copy, Debug)]
 pub struct EndpointSettings {
     /// Size of each of the two buffers, in bytes.
     pub buffer_bytes: usize,
-    /// Which timestamps it sends.
+    /// Which TCP timestamps it sends.
     pub timestamps: Timestamps,
-    /// Seed of the initial sequence number; a new one for each flow.
+    /// Seed of the initial sequence number; must differ between flows.
     pub sequence_seed: u64,
 }
 
-/// The device of one poll: at most one received packet in, any number of packets out.
+/// The `smoltcp` device of one poll: takes in at most one packet, sends any number of packets.
 struct OnePoll<'p> {
     received: Option<&'p [u8]>,
     to_send: &'p mut VecDeque<Vec<u8>>,
@@ -94,14 +95,14 @@
         let mut capabilities = DeviceCapabilities::default();
         capabilities.medium = Medium::Ip;
         capabilities.max_transmission_unit = MTU_BYTES;
-        // Received segments are checked before they come here, under a counter.
+        // The caller of `receive` has verified and counted the checksums of received packets.
         capabilities.checksum.ipv4 = Checksum::Tx;
         capabilities.checksum.tcp = Checksum::Tx;
         capabilities
     }
 }
 
-/// Whether the TCP checksum of a whole IPv4 packet is right.
+/// Whether the TCP checksum of a complete IPv4 packet is valid.
 pub fn tcp_checksum_is_valid(packet: &[u8]) -> bool {
     let Ok(outer) = Ipv4Packet::new_checked(packet) else {
         return false;
@@ -112,7 +113,7 @@
     segment.verify_checksum(&outer.src_addr().into(), &outer.dst_addr().into())
 }
 
-/// A TCP endpoint: packets in, packets out, bytes in between.
+/// One side of a TCP connection: takes and produces IPv4 packets, and reads and writes bytes.
 pub struct Endpoint {
     interface: Interface,
     sockets: SocketSet<'static>,
@@ -133,21 +134,21 @@
 }
 
 impl Endpoint {
-    /// An endpoint that waits for the SYN of `flow`, at the service's address.
+    /// Creates an endpoint at the service's address that waits for the SYN of `flow`.
     pub fn listen(now: Duration, flow: &FlowKey, settings: &EndpointSettings) -> Self {
         let mut endpoint = Self::new(now, *flow.service.ip(), settings);
-        // A fresh socket and a port that is not zero always listen.
+        // Cannot fail: the socket is new and the port is not zero.
         let _ = endpoint.socket_mut().listen((*flow.service.ip(), flow.service.port()));
         endpoint
     }
 
-    /// An endpoint that opens `flow` from the caller's address.
+    /// Creates an endpoint at the caller's address that opens `flow`.
     pub fn connect(now: Duration, flow: &FlowKey, settings: &EndpointSettings) -> Self {
         let mut endpoint = Self::new(now, *flow.caller.ip(), settings);
         let Endpoint { interface, sockets, socket, .. } = &mut endpoint;
         let remote = (*flow.service.ip(), flow.service.port());
         let local = (*flow.caller.ip(), flow.caller.port());
-        // A fresh socket and addresses that are not zero always connect.
+        // Cannot fail: the socket is new and the addresses are not zero.
         let _ =
             sockets.get_mut::<tcp::Socket<'_>>(*socket).connect(interface.context(), remote, local);
         endpoint
@@ -160,10 +161,10 @@
         let mut device = OnePoll { received: None, to_send: &mut to_send };
         let mut interface = Interface::new(config, &mut device, instant(now));
         interface.update_ip_addrs(|addresses| {
-            // The list is empty, so there is room for one.
+            // Cannot fail: the list is empty, so it has room for one.
             let _ = addresses.push(IpCidr::new(IpAddress::Ipv4(address), PREFIX_BITS));
         });
-        // The route table is empty, so there is room for one.
+        // Cannot fail: the route table is empty, so it has room for one.
         let _ = interface.routes_mut().add_default_ipv4_route(address);
         let buffer = || tcp::SocketBuffer::new(vec![0; settings.buffer_bytes]);
         let mut socket = tcp::Socket::new(buffer(), buffer());
@@ -188,12 +189,12 @@
         self.sockets.get_mut(self.socket)
     }
 
-    /// Takes an IPv4 packet whose checksums are right and does all that is due.
+    /// Handles an IPv4 packet whose checksums are valid, and runs the timers that are due.
     pub fn receive(&mut self, now: Duration, packet: &[u8]) {
         self.poll_with(now, Some(packet));
     }
 
-    /// Does all that is due; collect the packets with [`Endpoint::take_packet`] next.
+    /// Runs the timers that are due. Collect the packets to send with [`Endpoint::take_packet`].
     pub fn poll(&mut self, now: Duration) {
         self.poll_with(now, None);
     }
@@ -216,30 +217,30 @@
         }
     }
 
-    /// The next packet to send.
+    /// Takes the next packet to send.
     pub fn take_packet(&mut self) -> Option<Vec<u8>> {
         self.to_send.pop_front()
     }
 
-    /// When [`Endpoint::poll`] must be called next though nothing arrives.
+    /// When [`Endpoint::poll`] must be called next if no packet arrives before.
     pub fn next_timeout(&mut self, now: Duration) -> Option<Duration> {
         let at = self.interface.poll_at(instant(now), &self.sockets)?;
         let micros = u64::try_from(at.total_micros()).unwrap_or(0);
         Some(Duration::from_micros(micros).max(now))
     }
 
-    /// Whether an acknowledgement answers this endpoint's own SYN, and not that of another
+    /// Whether `acknowledgement` acknowledges this endpoint's own SYN, and not that of another
     /// endpoint that was offered the same flow.
     pub fn acknowledges_handshake(&self, acknowledgement: u32) -> bool {
         self.initial_sequence.is_some_and(|own| own.wrapping_add(1) == acknowledgement)
     }
 
-    /// Whether bytes can be sent, now or once the buffer has room.
+    /// Whether the connection can carry bytes to the peer, now or once the send buffer has room.
     pub fn is_established(&self) -> bool {
         self.socket().may_send()
     }
 
-    /// Whether the peer has finished and all of its bytes were read.
+    /// Whether the peer has sent FIN and all of its bytes have been read.
     pub fn peer_finished(&self) -> bool {
         let socket = self.socket();
         let after_fin = matches!(
@@ -249,40 +250,40 @@
         after_fin && socket.recv_queue() == 0
     }
 
-    /// Whether the connection is over, by finish, reset or silence.
+    /// Whether the connection has ended: closed by both sides, reset or timed out.
     pub fn is_closed(&self) -> bool {
         matches!(self.socket().state(), State::Closed)
     }
 
-    /// Whether both sides have finished and only stray segments are waited for.
+    /// Whether both sides have closed and the endpoint only waits for delayed segments (TIME-WAIT).
     pub fn is_in_time_wait(&self) -> bool {
         matches!(self.socket().state(), State::TimeWait)
     }
 
-    /// Takes received bytes, `most` at the most.
-    pub fn read(&mut self, most: usize) -> Option<Bytes> {
+    /// Takes up to `max_bytes` received bytes; `None` if there are none.
+    pub fn read(&mut self, max_bytes: usize) -> Option<Bytes> {
         let socket = self.socket_mut();
-        if !socket.can_recv() || most == 0 {
+        if !socket.can_recv() || max_bytes == 0 {
             return None;
         }
         let read = socket.recv(|bytes| {
-            let length = bytes.len().min(most);
+            let length = bytes.len().min(max_bytes);
             (length, Bytes::copy_from_slice(&bytes[..length]))
         });
         read.ok().filter(|bytes| !bytes.is_empty())
     }
 
-    /// Queues bytes to send and tells how many were taken.
+    /// Queues bytes to send and returns how many fitted into the send buffer.
     pub fn write(&mut self, bytes: &[u8]) -> usize {
         self.socket_mut().send_slice(bytes).unwrap_or(0)
     }
 
-    /// Finishes sending once the queued bytes are out.
+    /// Sends FIN after the queued bytes.
     pub fn finish(&mut self) {
         self.socket_mut().close();
     }
 
-    /// Resets the connection.
+    /// Aborts the connection with a reset.
     pub fn reset(&mut self) {
         self.socket_mut().abort();
     }
--- a/crates/flow/src/lib.rs
+++ b/crates/flow/src/lib.rs
@@ -1,10 +1,10 @@
-//! One TCP flow that this process ends itself, without I/O or clock.
+//! TCP flows that this process terminates itself, without I/O or clock.
 //!
-//! [`Endpoint`] wraps a `smoltcp` interface with one socket: each flow has its own, so a packet's
-//! cost does not grow with the number of flows. [`SplicedFlow`] joins an endpoint to a socket of
-//! the host and follows the state chart `charts/flow.toml`; agents use it for flows that callers
-//! open, the fabric stand-in for flows that it opens on behalf of callers.
-//! [`FlowTable`] keeps the flows of a process with their wake-ups.
+//! [`Endpoint`] wraps a `smoltcp` interface with one socket. Each flow has its own, so the cost of
+//! a packet does not grow with the number of flows. [`SplicedFlow`] connects an endpoint to a
+//! socket of the host and follows the state chart `charts/flow.toml`. Agents use it for flows that
+//! callers open; the test stand-in for the fabric uses it for flows that it opens on behalf of
+//! callers. [`FlowTable`] holds the flows of a process and their timers.
 
 mod endpoint;
 mod lifecycle;
--- a/crates/flow/src/lifecycle.rs
+++ b/crates/flow/src/lifecycle.rs
@@ -1,26 +1,26 @@
-//! The flow's life cycle, as `charts/flow.toml` describes it.
+//! The states and events of a TCP flow. The transitions are in `charts/flow.toml`.
 
 use loftdrift_charts::{ChartNames, TypedChart};
 use loftdrift_findings::Findings;
 
-/// Where a flow stands in its life.
+/// State of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowState {
     /// The TCP handshake is under way; no socket is open.
     Handshake,
-    /// The handshake is done, the socket is being opened.
+    /// The handshake is done; the socket is being opened.
     Connecting,
     /// Both directions carry bytes.
     Open,
-    /// The caller sends no more.
+    /// The caller has finished sending; the back end may still send.
     CallerDone,
-    /// The back end sends no more.
+    /// The back end has finished sending; the caller may still send.
     BackendDone,
-    /// Both have finished; last acknowledgements are under way.
+    /// Both sides have finished sending; the last acknowledgements are outstanding.
     Closing,
-    /// A reset is on its way to the caller.
+    /// A reset is being sent to the caller.
     Resetting,
-    /// Over; the flow may be forgotten.
+    /// Ended: the flow can be removed.
     Gone,
 }
 
@@ -37,18 +37,18 @@
     ];
 }
 
-/// What happens to a flow.
+/// Event of a flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FlowEvent {
     /// The TCP handshake is done.
     Established,
     /// The socket is open.
     Connected,
-    /// The caller's last byte was passed on.
+    /// The caller's last byte and end of stream were forwarded to the socket.
     CallerFinished,
-    /// The back end's last byte was passed on.
+    /// The back end's last byte and end of stream were forwarded to the caller.
     BackendFinished,
-    /// The socket failed.
+    /// The socket failed or could not be opened.
     Failed,
     /// The flow's TCP connection is closed.
     Closed,
@@ -65,10 +65,10 @@
     ];
 }
 
-/// The chart of a flow's life.
+/// The state chart of a flow.
 pub type FlowChart = TypedChart<FlowState, FlowEvent>;
 
-/// Reads `charts/flow.toml`, which is built into the program.
+/// Parses `charts/flow.toml`, which is compiled into the program.
 pub fn flow_chart() -> Result<FlowChart, Findings> {
     TypedChart::parse("charts/flow.toml", include_str!("../../../charts/flow.toml"))
 }
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -1,7 +1,7 @@
-//! A flow's endpoint joined to a socket of the host.
+//! Connects a flow's TCP endpoint to a socket of the host and copies bytes both ways.
 //!
-//! The embedder owns the socket in a task of its own. Both directions are bounded: bytes for the
-//! socket up to [`SOCKET_WINDOW_BYTES`], bytes from the socket one chunk at a time.
+//! The embedder owns the socket in a task of its own. Both directions are bounded: at most
+//! [`SOCKET_WINDOW_BYTES`] are queued for the socket, and one chunk at a time is read from it.
 
 use crate::endpoint::Endpoint;
 use crate::lifecycle::{FlowChart, FlowEvent, FlowState};
@@ -10,61 +10,62 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Most bytes on their way to the socket.
+/// Maximum number of bytes queued for the socket and not yet written.
 const SOCKET_WINDOW_BYTES: usize = 64 * 1024;
 
-/// What the embedder's socket task must do.
+/// A command to the embedder's socket task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SocketCommand {
-    /// Open the socket and answer with [`SocketEvent::Opened`] or [`SocketEvent::Failed`].
+    /// Open the socket and report [`SocketEvent::Opened`] or [`SocketEvent::Failed`].
     Open,
-    /// Write all of the bytes and answer with [`SocketEvent::Written`].
+    /// Write all of the bytes and report [`SocketEvent::Written`].
     Write(Bytes),
-    /// No more bytes follow: shut down the writing side.
+    /// No more bytes follow: shut down the write half of the socket.
     FinishWriting,
-    /// Read one more chunk.
+    /// Read and report one more chunk.
     ReadMore,
-    /// Close at once.
+    /// Close the socket at once, with a reset where the protocol has one.
     Abort,
 }
 
-/// What the embedder's socket task reports.
+/// An event reported by the embedder's socket task.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SocketEvent {
-    /// The socket is open; the first chunk is being read.
+    /// The socket is open and the task reads the first chunk.
     Opened,
-    /// A chunk was read; the next follows after [`SocketCommand::ReadMore`].
+    /// A chunk was read. The task reads the next one after [`SocketCommand::ReadMore`].
     Received(Bytes),
-    /// So many bytes were written.
+    /// This many bytes were written.
     Written(usize),
-    /// The peer sends no more.
+    /// The peer has finished sending.
     Finished,
     /// The socket failed or could not be opened.
     Failed,
 }
 
-/// A flow between its TCP connection and a socket.
+/// A flow: a TCP endpoint towards the caller and a socket towards the back end.
 #[derive(Debug)]
 pub struct SplicedFlow {
     endpoint: Endpoint,
     chart: Arc<FlowChart>,
     state: FlowState,
-    /// Read from the socket, not yet taken by the endpoint.
+    /// Bytes read from the socket and not yet accepted by the endpoint.
     unsent: Bytes,
-    /// On their way to the socket.
+    /// Number of bytes queued for the socket and not yet written.
     unwritten: usize,
     socket_open: bool,
     socket_finished: bool,
-    backend_finish_passed: bool,
-    caller_finish_passed: bool,
-    /// When a handshake that is not done is given up.
+    backend_finish_forwarded: bool,
+    caller_finish_forwarded: bool,
+    /// When a handshake that has not completed is given up.
     handshake_deadline: Option<Duration>,
     commands: VecDeque<SocketCommand>,
 }
 
 impl SplicedFlow {
-    /// A flow whose socket is opened once the handshake is done, which is given up silently at
-    /// `handshake_deadline`: another candidate may have been offered the same flow and got it.
+    /// Creates a flow. Its socket is opened once the handshake is done. A handshake that has not
+    /// completed at `handshake_deadline` is given up without a reset, because another candidate may
+    /// have been offered the same flow and own it now.
     pub fn new(
         endpoint: Endpoint,
         chart: Arc<FlowChart>,
@@ -78,35 +79,35 @@
             unwritten: 0,
             socket_open: false,
             socket_finished: false,
-            backend_finish_passed: false,
-            caller_finish_passed: false,
+            backend_finish_forwarded: false,
+            caller_finish_forwarded: false,
             handshake_deadline,
             commands: VecDeque::new(),
         }
     }
 
-    /// Where the flow stands.
+    /// The flow's state.
     pub fn state(&self) -> FlowState {
         self.state
     }
 
-    /// The flow's endpoint.
+    /// The flow's TCP endpoint.
     pub fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Takes a packet whose checksums are right.
+    /// Handles a packet whose checksums are valid.
     pub fn on_packet(&mut self, now: Duration, packet: &[u8]) {
         self.endpoint.receive(now, packet);
         self.transfer(now);
     }
 
-    /// Takes what the socket task reports.
+    /// Handles an event of the socket task.
     pub fn on_socket_event(&mut self, now: Duration, event: SocketEvent) {
         match event {
             SocketEvent::Opened => {
                 self.socket_open = true;
-                self.step(FlowEvent::Connected);
+                self.apply(FlowEvent::Connected);
             }
             SocketEvent::Received(bytes) => self.unsent = bytes,
             SocketEvent::Written(count) => self.unwritten = self.unwritten.saturating_sub(count),
@@ -114,43 +115,43 @@
             SocketEvent::Failed => {
                 self.socket_open = false;
                 self.endpoint.reset();
-                self.step(FlowEvent::Failed);
+                self.apply(FlowEvent::Failed);
             }
         }
         self.poll(now);
     }
 
-    /// Does what is due at `now`: transfers bytes both ways and follows the chart.
+    /// Runs the timers that are due at `now`, copies bytes both ways and updates the state.
     pub fn poll(&mut self, now: Duration) {
-        if self.handshake_is_late(now) {
-            self.step(FlowEvent::Closed);
+        if self.handshake_timed_out(now) {
+            self.apply(FlowEvent::Closed);
             return;
         }
         self.endpoint.poll(now);
         self.transfer(now);
     }
 
-    /// Transfers bytes both ways, and lets the endpoint speak when that has changed anything.
+    /// Copies bytes both ways, and polls the endpoint again if anything was copied.
     fn transfer(&mut self, now: Duration) {
-        self.pass_handshake();
-        let changed = self.pass_to_socket() | self.pass_to_caller();
+        self.check_established();
+        let changed = self.forward_to_socket() | self.forward_to_caller();
         if changed {
             self.endpoint.poll(now);
         }
-        self.pass_end();
+        self.check_closed();
     }
 
-    /// The next command for the socket task.
+    /// Takes the next command for the socket task.
     pub fn take_command(&mut self) -> Option<SocketCommand> {
         self.commands.pop_front()
     }
 
-    /// The next packet to send.
+    /// Takes the next packet to send.
     pub fn take_packet(&mut self) -> Option<Vec<u8>> {
         self.endpoint.take_packet()
     }
 
-    /// When [`SplicedFlow::pump`] must be called next though nothing arrives.
+    /// When [`SplicedFlow::poll`] must be called next if nothing arrives before.
     pub fn next_timeout(&mut self, now: Duration) -> Option<Duration> {
         let next = self.endpoint.next_timeout(now);
         let deadline = self.handshake_deadline.filter(|_| self.state == FlowState::Handshake);
@@ -160,24 +161,24 @@
         }
     }
 
-    fn handshake_is_late(&self, now: Duration) -> bool {
+    fn handshake_timed_out(&self, now: Duration) -> bool {
         let deadline = self.handshake_deadline.filter(|_| self.state == FlowState::Handshake);
         deadline.is_some_and(|deadline| deadline <= now)
     }
 
-    fn step(&mut self, event: FlowEvent) {
+    fn apply(&mut self, event: FlowEvent) {
         self.state = self.chart.next(self.state, event);
     }
 
-    fn pass_handshake(&mut self) {
+    fn check_established(&mut self) {
         if self.state == FlowState::Handshake && self.endpoint.is_established() {
-            self.step(FlowEvent::Established);
+            self.apply(FlowEvent::Established);
             self.commands.push_back(SocketCommand::Open);
         }
     }
 
-    /// Passes bytes and the end of bytes on to the socket; `true` when any were.
-    fn pass_to_socket(&mut self) -> bool {
+    /// Forwards bytes and the end of the stream to the socket; returns whether there was anything.
+    fn forward_to_socket(&mut self) -> bool {
         if !self.socket_open {
             return false;
         }
@@ -188,36 +189,36 @@
             self.unwritten += bytes.len();
             self.commands.push_back(SocketCommand::Write(bytes));
         }
-        if !self.caller_finish_passed && self.endpoint.peer_finished() {
-            self.caller_finish_passed = true;
+        if !self.caller_finish_forwarded && self.endpoint.peer_finished() {
+            self.caller_finish_forwarded = true;
             self.commands.push_back(SocketCommand::FinishWriting);
-            self.step(FlowEvent::CallerFinished);
+            self.apply(FlowEvent::CallerFinished);
         }
         self.commands.len() != commands_before
     }
 
-    /// Passes bytes and the end of bytes on to the caller; `true` when any were.
-    fn pass_to_caller(&mut self) -> bool {
-        let mut passed = false;
+    /// Forwards bytes and the end of the stream to the caller; returns whether there was anything.
+    fn forward_to_caller(&mut self) -> bool {
+        let mut forwarded = false;
         if !self.unsent.is_empty() {
             let taken = self.endpoint.write(&self.unsent);
             self.unsent.advance(taken);
-            passed = taken > 0;
+            forwarded = taken > 0;
             if self.unsent.is_empty() {
                 self.commands.push_back(SocketCommand::ReadMore);
             }
         }
-        if self.socket_finished && self.unsent.is_empty() && !self.backend_finish_passed {
-            self.backend_finish_passed = true;
+        if self.socket_finished && self.unsent.is_empty() && !self.backend_finish_forwarded {
+            self.backend_finish_forwarded = true;
             self.endpoint.finish();
-            self.step(FlowEvent::BackendFinished);
-            passed = true;
+            self.apply(FlowEvent::BackendFinished);
+            forwarded = true;
         }
-        passed
+        forwarded
     }
 
-    fn pass_end(&mut self) {
-        let finished = self.caller_finish_passed && self.backend_finish_passed;
+    fn check_closed(&mut self) {
+        let finished = self.caller_finish_forwarded && self.backend_finish_forwarded;
         if self.state == FlowState::Gone || !self.endpoint.is_closed() {
             return;
         }
@@ -225,6 +226,6 @@
             self.commands.push_back(SocketCommand::Abort);
             self.socket_open = false;
         }
-        self.step(FlowEvent::Closed);
+        self.apply(FlowEvent::Closed);
     }
 }
--- a/crates/flow/src/table.rs
+++ b/crates/flow/src/table.rs
@@ -1,6 +1,6 @@
-//! The flows of one process, by identity and by addresses, with their wake-ups.
+//! The flows of one process, indexed by id and by addresses, with their timers.
 //!
-//! A packet costs one hash look-up however many flows there are; everything else of its flow is in
+//! A packet costs one hash lookup, however many flows there are. All other state of its flow is in
 //! one slot.
 
 use loftdrift_wire::FlowKey;
@@ -9,7 +9,7 @@
 
 const SLOT_BITS: u32 = 32;
 
-/// A flow's identity within its process; never used again.
+/// Id of a flow within its process. Ids are not reused: a slot's generation is part of the id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowId(u64);
 
@@ -32,21 +32,23 @@
 pub struct Flow<B> {
     /// Its addresses.
     pub key: FlowKey,
-    /// What the owner keeps of it.
+    /// The state that the table's owner keeps for it.
     pub body: B,
-    /// Whether it still burdens the back end; one that only waits for stray segments does not.
+    /// Whether it still loads the back end. A flow that only waits for last acknowledgements or
+    /// delayed segments does not.
     is_active: bool,
+    /// The time of its entry in [`FlowTable::wake_ups`].
     wake_at: Option<Duration>,
 }
 
 #[derive(Debug)]
 struct Slot<B> {
-    /// Counts the flows that the slot has held.
+    /// Counts the flows that have used the slot.
     generation: u32,
     flow: Option<Flow<B>>,
 }
 
-/// Flows whose owner keeps a `B` of each.
+/// A table of flows. `B` is the state that the owner keeps for each.
 #[derive(Debug)]
 pub struct FlowTable<B> {
     by_key: HashMap<FlowKey, FlowId>,
@@ -74,46 +76,46 @@
         self.by_key.get(key).copied()
     }
 
-    /// A flow.
+    /// The flow with this id, if it is still in the table.
     pub fn get(&self, id: FlowId) -> Option<&Flow<B>> {
         let slot = self.slots.get(id.slot())?;
         slot.flow.as_ref().filter(|_| slot.generation == id.generation())
     }
 
-    /// A flow, to change.
+    /// Mutable access to the flow with this id, if it is still in the table.
     pub fn get_mut(&mut self, id: FlowId) -> Option<&mut Flow<B>> {
         let slot = self.slots.get_mut(id.slot())?;
         slot.flow.as_mut().filter(|_| slot.generation == id.generation())
     }
 
-    /// Every flow in the table, in the order of their identities.
+    /// The ids of all flows, sorted.
     pub fn ids(&self) -> Vec<FlowId> {
         let mut ids: Vec<FlowId> = self.by_key.values().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Adds a flow whose addresses no other one has.
+    /// Adds a flow. No other flow in the table may have the same addresses.
     pub fn insert(&mut self, key: FlowKey, body: B) -> FlowId {
         self.insert_with(key, |_| body)
     }
 
-    /// Adds a flow whose body is made with its identity.
+    /// Adds a flow whose body is built from its id. No other flow may have the same addresses.
     pub fn insert_with(&mut self, key: FlowKey, make: impl FnOnce(FlowId) -> B) -> FlowId {
-        let place = self.free.pop().unwrap_or_else(|| {
+        let index = self.free.pop().unwrap_or_else(|| {
             self.slots.push(Slot { generation: 0, flow: None });
             self.slots.len() - 1
         });
-        let slot = &mut self.slots[place];
+        let slot = &mut self.slots[index];
         slot.generation = slot.generation.wrapping_add(1);
-        let id = FlowId::new(place, slot.generation);
+        let id = FlowId::new(index, slot.generation);
         slot.flow = Some(Flow { key, body: make(id), is_active: true, wake_at: None });
         self.by_key.insert(key, id);
         self.active_flows += 1;
         id
     }
 
-    /// Removes a flow and its wake-up.
+    /// Removes a flow and its timer.
     pub fn remove(&mut self, id: FlowId) {
         if self.get(id).is_none() {
             return;
@@ -129,21 +131,21 @@
         }
     }
 
-    /// The flow burdens the back end no more.
+    /// Marks a flow as no longer loading the back end.
     pub fn mark_inactive(&mut self, id: FlowId) {
         let released = self.get_mut(id).is_some_and(|flow| std::mem::take(&mut flow.is_active));
         self.active_flows -= usize::from(released);
     }
 
-    /// How many flows burden the back end.
+    /// Number of flows that load the back end.
     pub fn active_flows(&self) -> usize {
         self.active_flows
     }
 
-    /// Has a flow woken no later than its deadline.
+    /// Makes sure that a flow's timer fires no later than `deadline`.
     ///
-    /// A deadline that moves later, as most do with every packet, costs nothing: the earlier
-    /// wake-up stays, and the flow, woken early, sets its deadline again.
+    /// A deadline that moves later, as most do with every packet, costs nothing: the earlier timer
+    /// stays, and the flow sets its deadline again when it fires early.
     pub fn wake_by(&mut self, id: FlowId, deadline: Option<Duration>) {
         let Some(deadline) = deadline else { return };
         let Some(flow) = self.get_mut(id) else { return };
@@ -157,12 +159,12 @@
         self.wake_ups.insert((deadline, id));
     }
 
-    /// The earliest wake-up.
+    /// Time of the earliest timer.
     pub fn next_wake_up(&self) -> Option<Duration> {
         self.wake_ups.first().map(|(wake_at, _)| *wake_at)
     }
 
-    /// Takes a flow whose wake-up has come.
+    /// Removes one timer that is due at `now` and returns its flow.
     pub fn pop_due(&mut self, now: Duration) -> Option<FlowId> {
         let (wake_at, id) = *self.wake_ups.first()?;
         if wake_at > now {
--- a/crates/liveness/src/lib.rs
+++ b/crates/liveness/src/lib.rs
@@ -1,32 +1,35 @@
-//! Tells which peers answer, by probing them within a budget. No I/O and no clock: the embedder
-//! calls [`Prober::tick`] with the time, sends what it returns and reports replies.
+//! Failure detector: finds out which peers reply, by probing them within a rate limit. Without I/O
+//! or clock: the embedder calls [`Prober::tick`] with the time, sends the probes that it returns
+//! and reports replies.
 //!
-//! A verdict is one node's opinion. Its users may only let it change the order in which they try
-//! peers, or which peers get new work.
+//! The result is the opinion of one node. Its users may only let it change the order in which they
+//! ask peers, or which peers get new work.
 
 use loftdrift_wire::{Echo, EchoKind};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How often and how patiently peers are probed.
+/// Intervals and limits of probing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeSettings {
-    /// Time from one probe of a peer that answers to its next.
+    /// Time from a peer's reply to its next probe, and between probes of a dead peer.
     pub interval: Duration,
-    /// Time to wait for an answer, and from a missed probe to the next.
+    /// Time to wait for a reply before the probe counts as missed and the next one is sent.
     pub timeout: Duration,
-    /// Probes missed in a row after which a peer is believed dead.
+    /// Number of probes missed in a row after which a peer is considered dead.
     pub miss_threshold: u32,
-    /// Most probes sent in one second, over all peers.
+    /// Maximum number of probes sent in one second, over all peers.
     pub max_per_second: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Peer {
+    /// When to send the next probe.
     due: Duration,
-    /// The probe that waits for its answer.
+    /// Sequence number of the probe that has not been answered yet.
     waiting: Option<u64>,
+    /// Probes missed in a row.
     missed: u32,
     dead: bool,
 }
@@ -34,9 +37,9 @@
 /// A probe to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// The peer.
+    /// Address of the peer.
     pub to: SocketAddrV4,
-    /// What to send.
+    /// The echo request to send.
     pub echo: Echo,
 }
 
@@ -46,14 +49,14 @@
     settings: ProbeSettings,
     peers: BTreeMap<SocketAddrV4, Peer>,
     next_sequence: u64,
-    /// Start of the second in which `sent` probes were sent.
+    /// Start of the one-second window in which `sent` probes were sent.
     second: Duration,
     sent: u32,
     changed: bool,
 }
 
 impl Prober {
-    /// A prober without peers.
+    /// Creates a prober without peers.
     pub fn new(settings: ProbeSettings) -> Self {
         Prober {
             settings,
@@ -65,7 +68,7 @@
         }
     }
 
-    /// Sets who is probed. New peers are believed alive and probed first.
+    /// Sets the peers to probe. New peers count as alive and are due for a probe at once.
     pub fn set_peers(&mut self, now: Duration, peers: impl Iterator<Item = SocketAddrV4>) {
         let fresh = Peer { due: now, waiting: None, missed: 0, dead: false };
         let known = std::mem::take(&mut self.peers);
@@ -74,7 +77,7 @@
         self.changed = true;
     }
 
-    /// The probes to send now, within the budget.
+    /// Returns the probes to send now, within the rate limit.
     pub fn tick(&mut self, now: Duration) -> Vec<Probe> {
         if now >= self.second + Duration::from_secs(1) {
             self.second = now;
@@ -101,7 +104,7 @@
         probes
     }
 
-    /// Takes a reply. Late replies to earlier probes count as well: the peer lives.
+    /// Handles a reply. Late replies to earlier probes count too: they show that the peer is alive.
     pub fn on_reply(&mut self, now: Duration, from: SocketAddrV4) {
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
@@ -113,17 +116,17 @@
         peer.due = now + self.settings.interval;
     }
 
-    /// Whether a peer is believed dead. Peers that are not probed are not.
+    /// Whether a peer is considered dead. Peers that are not probed are not.
     pub fn is_dead(&self, peer: SocketAddrV4) -> bool {
         self.peers.get(&peer).is_some_and(|peer| peer.dead)
     }
 
-    /// The peers believed alive, in the order of their addresses.
+    /// The peers that are considered alive, in the order of their addresses.
     pub fn alive_peers(&self) -> impl Iterator<Item = SocketAddrV4> {
         self.peers.iter().filter(|(_, peer)| !peer.dead).map(|(address, _)| *address)
     }
 
-    /// Whether a verdict or the set has changed since the last call.
+    /// Whether any peer's state or the set of peers has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
--- a/crates/splice/src/lib.rs
+++ b/crates/splice/src/lib.rs
@@ -1,7 +1,9 @@
-//! tokio tasks that carry bytes between a spliced flow and a socket of the host.
+//! Tokio tasks that copy bytes between a [`SplicedFlow`](loftdrift_flow::SplicedFlow) and a socket
+//! of the host.
 //!
-//! One task owns each socket. It takes [`SocketCommand`]s and reports [`SocketEvent`]s; the flow's
-//! own window bounds what is under way, so the command channel stays short.
+//! One task owns each socket. It takes [`SocketCommand`]s and reports [`SocketEvent`]s. The flow
+//! limits the bytes that are queued for the socket, so the command channel stays short although it
+//! is unbounded.
 
 mod tcp;
 mod udp;
@@ -11,18 +13,18 @@
 use tokio::net::TcpStream;
 use tokio::sync::mpsc;
 
-/// Where a flow's socket comes from.
+/// How a flow's socket is obtained.
 #[derive(Debug)]
 pub enum SocketSource {
-    /// TCP to this address.
+    /// Open a TCP connection to this address.
     ConnectTcp(SocketAddrV4),
-    /// UDP to this address.
+    /// Open a UDP socket connected to this address.
     ConnectUdp(SocketAddrV4),
-    /// A connection that was accepted.
+    /// Use a connection that was accepted before.
     Accepted(TcpStream),
 }
 
-/// A report of one flow's socket task.
+/// An event from one flow's socket task.
 #[derive(Clone, Debug)]
 pub struct FlowSocketEvent {
     /// The flow.
@@ -31,10 +33,11 @@
     pub event: SocketEvent,
 }
 
-/// Sends commands to one flow's socket task; dropping it ends the task.
+/// Sends commands to one flow's socket task. Dropping it ends the task.
 pub type CommandSender = mpsc::UnboundedSender<SocketCommand>;
 
-/// Starts the task that owns a flow's socket. It waits for [`SocketCommand::Open`].
+/// Starts the task that owns a flow's socket. A TCP task waits for [`SocketCommand::Open`] before
+/// it uses the connection.
 pub fn spawn(
     flow: FlowId,
     source: SocketSource,
@@ -44,19 +47,19 @@
     let reporter = Reporter { flow, events };
     match source {
         SocketSource::ConnectTcp(server) => {
-            tokio::spawn(tcp::dial(server, commands, reporter));
+            tokio::spawn(tcp::connect_and_serve(server, commands, reporter));
         }
         SocketSource::ConnectUdp(server) => {
-            tokio::spawn(udp::dial(server, commands, reporter));
+            tokio::spawn(udp::connect_and_serve(server, commands, reporter));
         }
         SocketSource::Accepted(stream) => {
-            tokio::spawn(tcp::accepted(stream, commands, reporter));
+            tokio::spawn(tcp::serve_accepted(stream, commands, reporter));
         }
     }
     sender
 }
 
-/// Reports to the task that owns the flows.
+/// Reports a socket's events to the task that owns the flows.
 #[derive(Clone, Debug)]
 struct Reporter {
     flow: FlowId,
@@ -64,7 +67,7 @@
 }
 
 impl Reporter {
-    /// Reports an event; `false` when nobody listens any more.
+    /// Reports an event. Returns `false` if the receiver is gone.
     async fn report(&self, event: SocketEvent) -> bool {
         let event = FlowSocketEvent { flow: self.flow, event };
         self.events.send(event).await.is_ok()
--- a/crates/splice/src/tcp.rs
+++ b/crates/splice/src/tcp.rs
@@ -1,4 +1,4 @@
-//! TCP sockets.
+//! Tasks that own a TCP socket.
 
 use crate::Reporter;
 use bytes::BytesMut;
@@ -13,7 +13,7 @@
 const CHUNK_BYTES: usize = 16 * 1024;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 
-pub(crate) async fn dial(
+pub(crate) async fn connect_and_serve(
     server: SocketAddrV4,
     mut commands: mpsc::UnboundedReceiver<SocketCommand>,
     reporter: Reporter,
@@ -29,7 +29,7 @@
     }
 }
 
-pub(crate) async fn accepted(
+pub(crate) async fn serve_accepted(
     stream: TcpStream,
     mut commands: mpsc::UnboundedReceiver<SocketCommand>,
     reporter: Reporter,
@@ -37,7 +37,7 @@
     if commands.recv().await == Some(SocketCommand::Open) {
         serve(stream, commands, reporter).await;
     } else {
-        // The flow ended before it opened: the dialler sees a reset, not an empty answer.
+        // The flow ended before it opened: the peer gets a reset, not an empty response.
         let _ = stream.set_zero_linger();
     }
 }
@@ -47,7 +47,7 @@
     mut commands: mpsc::UnboundedReceiver<SocketCommand>,
     reporter: Reporter,
 ) {
-    // Without this option small writes wait for acknowledgements; failing to set it breaks nothing.
+    // Without TCP_NODELAY small writes wait for acknowledgements. Failing to set it does no harm.
     let _ = stream.set_nodelay(true);
     if !reporter.report(SocketEvent::Opened).await {
         return;
@@ -57,7 +57,8 @@
     let reading = tokio::spawn(read_chunks(reader, credits, reporter.clone()));
     let finished = write_commands(&mut commands, &mut writer, &read_more, &reporter).await;
     if finished {
-        // The writing side is shut down; the reader goes on to its end unless the flow goes.
+        // The write half is shut down. Reading continues until the peer's end of stream, unless the
+        // flow ends first.
         wait_for_end(&mut commands, &read_more, reading, &writer).await;
     } else {
         let _ = writer.as_ref().set_zero_linger();
@@ -65,7 +66,7 @@
     }
 }
 
-/// Carries out commands; `true` when the writing side was shut down in order.
+/// Carries out commands. Returns `true` if the write half was shut down without an error.
 async fn write_commands(
     commands: &mut mpsc::UnboundedReceiver<SocketCommand>,
     writer: &mut OwnedWriteHalf,
@@ -76,7 +77,7 @@
         match command {
             SocketCommand::Open => {}
             SocketCommand::ReadMore => {
-                // A reader that has ended needs no credit.
+                // Fails only if the reader has ended; it needs no credit then.
                 let _ = read_more.send(());
             }
             SocketCommand::Write(bytes) => {
@@ -95,6 +96,7 @@
     false
 }
 
+/// Waits until the reader has ended; an abort, or the end of the flow, resets the connection.
 async fn wait_for_end(
     commands: &mut mpsc::UnboundedReceiver<SocketCommand>,
     read_more: &mpsc::UnboundedSender<()>,
@@ -119,7 +121,7 @@
     }
 }
 
-/// Reads one chunk, and one more for each credit.
+/// Reads one chunk at first, and one more for each credit received.
 async fn read_chunks(
     mut reader: OwnedReadHalf,
     mut credits: mpsc::UnboundedReceiver<()>,
--- a/crates/splice/src/udp.rs
+++ b/crates/splice/src/udp.rs
@@ -1,4 +1,4 @@
-//! UDP sockets: one datagram a command and a report.
+//! Tasks that own a UDP socket: one datagram per command and per event.
 
 use crate::Reporter;
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-pub(crate) async fn dial(
+pub(crate) async fn connect_and_serve(
     server: SocketAddrV4,
     commands: mpsc::UnboundedReceiver<SocketCommand>,
     reporter: Reporter,
@@ -38,14 +38,14 @@
         tokio::select! {
             command = commands.recv() => match command {
                 Some(SocketCommand::Write(datagram)) => {
-                    // A datagram that is lost here is lost as on any network.
+                    // A failed send counts as a lost datagram, as on any network.
                     let _ = socket.send(&datagram).await;
                 }
                 Some(SocketCommand::Abort) | None => return,
                 Some(_) => {}
             },
             received = socket.recv(&mut buffer) => {
-                // An error tells of an earlier datagram that nobody took; the flow goes on.
+                // An error reports that an earlier datagram found no receiver. The flow goes on.
                 let Ok(length) = received else { continue };
                 let datagram = Bytes::copy_from_slice(&buffer[..length]);
                 if !reporter.report(SocketEvent::Received(datagram)).await {
--- a/crates/steering/src/buckets.rs
+++ b/crates/steering/src/buckets.rs
@@ -1,25 +1,25 @@
-//! Bucket tables: for each bucket of flow hashes the members of one generation, best first.
+//! Rendezvous hashing: orders the members of a generation for each bucket of flow hashes.
 
 use crate::hash::rendezvous_score;
 use loftdrift_configuration::{Generation, Member, Site};
 
 const BUCKETS_PER_MEMBER: usize = 16;
-const FEWEST_BUCKETS: usize = 64;
+const MIN_BUCKETS: usize = 64;
 
-/// How many buckets a generation has: a power of two, sized by its members.
+/// Number of buckets of a generation: a power of two that grows with the number of members.
 pub(crate) fn bucket_count(generation: &Generation) -> usize {
-    (generation.members.len() * BUCKETS_PER_MEMBER).next_power_of_two().max(FEWEST_BUCKETS)
+    (generation.members.len() * BUCKETS_PER_MEMBER).next_power_of_two().max(MIN_BUCKETS)
 }
 
-/// Places in `generation.members` of the `most` best members of a bucket, best first.
+/// Indices in `generation.members` of the `limit` members with the highest scores in a bucket,
+/// highest first. If `site` is given and has members, only those are used.
 ///
-/// Rendezvous hashing: adding or removing a member moves no other pair of bucket and member.
-/// Members on `site` alone when there are any.
+/// Adding or removing a member does not change the order of the others (rendezvous hashing).
 pub(crate) fn best_members(
     generation: &Generation,
     site: Option<Site>,
     bucket: usize,
-    most: usize,
+    limit: usize,
 ) -> Vec<usize> {
     let on_site = |member: &Member| site.is_none_or(|site| member.site == site);
     let any_on_site = generation.members.iter().any(on_site);
@@ -31,6 +31,6 @@
         .map(|(index, member)| (rendezvous_score(bucket, member.backend), index))
         .collect();
     scored.sort_unstable_by(|left, right| right.cmp(left));
-    scored.truncate(most);
+    scored.truncate(limit);
     scored.into_iter().map(|(_, index)| index).collect()
 }
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,10 +1,10 @@
 //! Which agents a packet should ask, without I/O or clock.
 //!
-//! [`SteeringMap`] is built from a configuration and answers, for each packet, with a short ordered
-//! list of candidates. It keeps nothing per flow: the list is a function of the configuration, the
-//! flow's hash, the cookie that the packet echoes, and a local opinion about which agents answer.
-//! Opinions change the order of asking and who may open *new* flows, never the set of agents that
-//! an existing flow's packets reach.
+//! [`SteeringMap`] is built from a configuration and returns a short, ordered list of candidates
+//! for each packet. It keeps no state per flow: the list depends on the configuration, the flow's
+//! hash, the cookie that the packet echoes, and this node's view of which agents are suspected to
+//! be dead. That view changes the order in which agents are asked and which agents may open *new*
+//! flows, but never the set of agents that an existing flow's packets reach.
 //!
 //! ```
 //! use loftdrift_configuration::{Configuration, apply, parse_script};
--- a/crates/steering/src/map.rs
+++ b/crates/steering/src/map.rs
@@ -1,4 +1,4 @@
-//! All services' tables, by the address that callers dial.
+//! The steering tables of all services, by service address.
 
 use crate::service::ServiceTable;
 use loftdrift_configuration::{Configuration, Version};
@@ -23,15 +23,15 @@
 }
 
 impl SteeringMap {
-    /// The tables of `configuration`.
+    /// Builds the tables of `configuration`.
     pub fn new(configuration: &Configuration) -> Self {
         let mut map = SteeringMap { version: configuration.version, ..SteeringMap::default() };
         for service in configuration.services.values() {
-            let place = map.tables.len();
+            let index = map.tables.len();
             let transport = Transport::from(service.transport);
             let address = ServiceAddress { address: service.address, transport };
-            map.by_address.insert(address, place);
-            map.by_id.insert(service.service_id(), place);
+            map.by_address.insert(address, index);
+            map.by_id.insert(service.service_id(), index);
             map.tables.push(ServiceTable::new(service));
         }
         map
@@ -42,28 +42,28 @@
         self.version
     }
 
-    /// The table of the service that a flow dials.
+    /// The table of the service to which a flow is addressed.
     pub fn service(&self, flow: &FlowKey) -> Option<&ServiceTable> {
         let address = ServiceAddress { address: flow.service, transport: flow.transport };
-        self.by_address.get(&address).map(|place| &self.tables[*place])
+        self.by_address.get(&address).map(|index| &self.tables[*index])
     }
 
-    /// The table of a service by its identity.
+    /// The table of a service by its id.
     pub fn service_by_id(&self, id: ServiceId) -> Option<&ServiceTable> {
-        self.by_id.get(&id).map(|place| &self.tables[*place])
+        self.by_id.get(&id).map(|index| &self.tables[*index])
     }
 
-    /// Every agent of every service.
+    /// The agents of all services.
     pub fn agents(&self) -> impl Iterator<Item = &Candidate> {
         self.tables.iter().flat_map(ServiceTable::agents)
     }
 
-    /// Moves the shares of the sites to where they are at a time since the Unix epoch.
+    /// Updates the sites' shares of new flows to the time `unix_now` since the Unix epoch.
     pub fn set_time(&mut self, unix_now: Duration) {
         self.tables.iter_mut().for_each(|table| table.set_time(unix_now));
     }
 
-    /// Takes this node's opinion on each agent: `true` for those believed dead.
+    /// Sets which agents this node suspects to be dead.
     pub fn set_suspects(&mut self, believed_dead: impl Fn(&Candidate) -> bool) {
         for table in &mut self.tables {
             table.set_suspects(&believed_dead);
--- a/crates/steering/src/service.rs
+++ b/crates/steering/src/service.rs
@@ -9,18 +9,20 @@
 };
 use std::time::Duration;
 
-/// Most times that agents pass one packet on, for each list: every candidate once, the way back to
-/// the best of a tour, and room for the candidates that a newer agent adds.
+/// Maximum number of times that agents forward one packet, for each candidate list: to every
+/// candidate once, back to the least loaded, and to candidates that an agent with a newer
+/// configuration adds.
 pub const MAX_HOPS: u8 = 16;
 
-/// The hash's bits that choose the site stand above those that choose the bucket.
-const SHARE_HASH_SHIFT: u32 = 32;
+/// The site is chosen by the upper 32 bits of the flow hash, so that it does not depend on the bits
+/// that choose the bucket.
+const SITE_HASH_SHIFT: u32 = 32;
 
-/// A bucket's candidates as places in [`ServiceTable::agents`].
+/// The candidates of a bucket, as indices into [`ServiceTable::agents`].
 #[derive(Clone, Copy, Debug, Default)]
 struct Bucket {
     length: u8,
-    /// The first so many are of the newest generation.
+    /// Number of candidates, from the start, that belong to the newest generation.
     eligible_count: u8,
     agents: [u16; MAX_CANDIDATES],
 }
@@ -40,35 +42,35 @@
     }
 }
 
-/// Bucket tables by the site that a new flow is meant for.
+/// The buckets, by the site to which a new flow is assigned.
 #[derive(Clone, Debug)]
 enum SiteBuckets {
-    /// Sites do not matter.
+    /// Flows are not assigned to sites.
     Any(Vec<Bucket>),
-    /// New flows are shared between the sites.
+    /// A shift between sites is configured: each new flow is assigned to one site.
     Shared { left: Vec<Bucket>, right: Vec<Bucket> },
 }
 
-/// The candidates of one service's flows.
+/// The steering table of one service: the candidates for its flows.
 #[derive(Clone, Debug)]
 pub struct ServiceTable {
     id: ServiceId,
     epoch: u64,
-    /// The hash's bits that choose the bucket.
+    /// Mask of the hash bits that choose the bucket.
     mask: usize,
     buckets: SiteBuckets,
     shift: Option<SiteShift>,
-    /// The right site's share of new flows now, in thousandths.
+    /// Current share of new flows for the right site, in thousandths.
     right_permille: u16,
-    /// Every back end of the kept generations and of the configuration, in the order of identity.
+    /// All back ends of the kept generations and of the configuration, sorted by id.
     agents: Vec<Candidate>,
-    /// Whether the agent in that place is believed dead by this node.
+    /// Whether this node suspects the agent with the same index in `agents` to be dead.
     suspects: Vec<bool>,
     any_suspect: bool,
 }
 
 impl ServiceTable {
-    /// The table of a service as it stands in a configuration.
+    /// Builds the table of a configured service.
     pub fn new(service: &Service) -> Self {
         let agents = all_agents(service);
         let count = service.generations.iter().map(bucket_count).max().unwrap_or(1);
@@ -84,90 +86,93 @@
             agents,
         };
         table.buckets = match service.shift {
-            None => SiteBuckets::Any(table.fill_all(service, None)),
+            None => SiteBuckets::Any(table.build_buckets(service, None)),
             Some(_) => SiteBuckets::Shared {
-                left: table.fill_all(service, Some(Site::Left)),
-                right: table.fill_all(service, Some(Site::Right)),
+                left: table.build_buckets(service, Some(Site::Left)),
+                right: table.build_buckets(service, Some(Site::Right)),
             },
         };
         table
     }
 
-    fn fill_all(&self, service: &Service, site: Option<Site>) -> Vec<Bucket> {
-        (0..=self.mask).map(|bucket| self.fill(service, site, bucket)).collect()
+    fn build_buckets(&self, service: &Service, site: Option<Site>) -> Vec<Bucket> {
+        (0..=self.mask).map(|bucket| self.build_bucket(service, site, bucket)).collect()
     }
 
-    /// Moves the shares of the sites to where they are at a time since the Unix epoch.
+    /// Updates the sites' shares of new flows to the time `unix_now` since the Unix epoch.
     pub fn set_time(&mut self, unix_now: Duration) {
         if let Some(shift) = &self.shift {
             self.right_permille = shift.right_permille(unix_now);
         }
     }
 
-    /// Where a back end stands in [`ServiceTable::agents`].
-    fn place(&self, backend: BackendId) -> Option<u16> {
+    /// Index of a back end in [`ServiceTable::agents`].
+    fn agent_index(&self, backend: BackendId) -> Option<u16> {
         let found = self.agents.binary_search_by_key(&backend, |candidate| candidate.backend);
-        found.ok().map(|place| place as u16)
+        found.ok().map(|index| index as u16)
     }
 
-    /// A bucket's candidates; those on `site` first, unless there is none.
-    fn fill(&self, service: &Service, site: Option<Site>, bucket: usize) -> Bucket {
-        let most = usize::from(service.candidates);
+    /// Builds a bucket: the best members of each generation, newest generation first. If `site` is
+    /// given and has members in a generation, only those count.
+    fn build_bucket(&self, service: &Service, site: Option<Site>, bucket: usize) -> Bucket {
+        let limit = usize::from(service.candidates);
         let mut filled = Bucket::default();
         for (age, generation) in service.generations.iter().enumerate() {
             let own_bucket = bucket & (bucket_count(generation) - 1);
-            let best = best_members(generation, site, own_bucket, most).into_iter();
+            let best = best_members(generation, site, own_bucket, limit).into_iter();
             let best = best.map(|index| BackendId(generation.members[index].backend));
-            best.filter_map(|backend| self.place(backend)).for_each(|agent| filled.push(agent));
+            best.filter_map(|backend| self.agent_index(backend))
+                .for_each(|agent| filled.push(agent));
             if age == 0 {
                 filled.eligible_count = filled.length;
             }
         }
-        // Flows older than the kept generations may live on any other back end.
+        // Flows that are older than the kept generations may be on any other back end.
         (0..self.agents.len()).for_each(|agent| filled.push(agent as u16));
         filled
     }
 
-    /// The service's identity.
+    /// Id of the service.
     pub fn id(&self) -> ServiceId {
         self.id
     }
 
-    /// The configuration's revision at which the service's members changed last.
+    /// The configuration revision at which the service's members last changed.
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Every agent of the service, also of leaving back ends.
+    /// The agents of all back ends of the service, including leaving ones.
     pub fn agents(&self) -> &[Candidate] {
         &self.agents
     }
 
-    /// Takes this node's opinion on each agent: `true` for those believed dead.
+    /// Sets which agents this node suspects to be dead.
     pub fn set_suspects(&mut self, believed_dead: impl Fn(&Candidate) -> bool) {
         self.suspects = self.agents.iter().map(believed_dead).collect();
         self.any_suspect = self.suspects.contains(&true);
     }
 
-    /// The option of a packet that may open a flow: a tour of the newest generation's candidates.
+    /// The steering option of a packet that may open a flow. It makes the candidates of the newest
+    /// generation compare their loads.
     ///
-    /// Others take the places of suspects. Behind the tour's candidates stands a reserve, suspects
-    /// last: a datagram may be of a flow that lives there, and a SYN goes on to it when no candidate
-    /// takes the flow.
+    /// Suspected agents are replaced by the next candidates. Behind the eligible candidates the
+    /// list holds a reserve, with suspected agents last: a UDP datagram may belong to a flow there,
+    /// and a SYN moves on to the reserve if no eligible candidate accepts the flow.
     pub fn new_flow_option(&self, flow: &FlowKey) -> SteeringOption {
         let (bucket, _) = self.buckets(flow);
         let agents = bucket.agents();
         let mut candidates = CandidateList::new();
-        self.push(&mut candidates, agents.iter().filter(|agent| self.is_living(**agent)));
-        let living = candidates.as_slice().len();
-        self.push(&mut candidates, agents.iter().filter(|agent| !self.is_living(**agent)));
-        let open_to = if living == 0 { agents.len() } else { living };
-        let eligible_count = open_to.min(usize::from(bucket.eligible_count));
+        self.push(&mut candidates, agents.iter().filter(|agent| self.is_alive(**agent)));
+        let alive = candidates.as_slice().len();
+        self.push(&mut candidates, agents.iter().filter(|agent| !self.is_alive(**agent)));
+        let selectable = if alive == 0 { agents.len() } else { alive };
+        let eligible_count = selectable.min(usize::from(bucket.eligible_count));
         self.option(SteeringMode::Select, eligible_count, candidates)
     }
 
-    /// The option of a packet of a flow that exists: the back end that its cookie names, then the
-    /// candidates of every kept generation, newest first, suspects last.
+    /// The steering option of a packet of an existing flow: the back end that its cookie names,
+    /// then the candidates of all kept generations, newest first, with suspected agents last.
     pub fn existing_flow_option(
         &self,
         flow: &FlowKey,
@@ -176,53 +181,54 @@
         let (bucket, other) = self.buckets(flow);
         let mut candidates = CandidateList::new();
         let named = timestamp_echo.and_then(|echo| FlowCookie::backend(echo, self.id));
-        let named = named.and_then(|backend| self.place(backend));
-        if let Some(place) = named {
-            candidates.push_distinct(self.agents[usize::from(place)]);
+        let named = named.and_then(|backend| self.agent_index(backend));
+        if let Some(index) = named {
+            candidates.push_distinct(self.agents[usize::from(index)]);
         }
         let Some(other) = other else {
             self.push_others(&mut candidates, bucket.agents(), named);
             return self.option(SteeringMode::Locate, 0, candidates);
         };
-        // The flow may have been opened when the shares of the sites were others.
+        // The flow may have been opened while the sites had other shares, and so be on either site.
         let mut both = *bucket;
         other.agents().iter().for_each(|agent| both.push(*agent));
         self.push_others(&mut candidates, both.agents(), named);
         self.option(SteeringMode::Locate, 0, candidates)
     }
 
-    /// Appends agents but the one listed already, suspects last.
+    /// Appends all agents except `named`, which is already listed, with suspected agents last.
     fn push_others(&self, candidates: &mut CandidateList, agents: &[u16], named: Option<u16>) {
         let others = agents.iter().filter(|agent| Some(**agent) != named);
         if self.any_suspect {
-            let living = others.clone().filter(|agent| self.is_living(**agent));
-            self.push(candidates, living);
-            self.push(candidates, others.filter(|agent| !self.is_living(**agent)));
+            let alive = others.clone().filter(|agent| self.is_alive(**agent));
+            self.push(candidates, alive);
+            self.push(candidates, others.filter(|agent| !self.is_alive(**agent)));
         } else {
             self.push(candidates, others);
         }
     }
 
-    /// The flow's bucket for the site that it is meant for, and that for the other site.
+    /// The flow's bucket for the site to which the flow is assigned, and its bucket for the other
+    /// site if there are two.
     fn buckets(&self, flow: &FlowKey) -> (&Bucket, Option<&Bucket>) {
         let hash = flow_hash(flow);
-        let place = hash as usize & self.mask;
+        let index = hash as usize & self.mask;
         match &self.buckets {
-            SiteBuckets::Any(buckets) => (&buckets[place], None),
+            SiteBuckets::Any(buckets) => (&buckets[index], None),
             SiteBuckets::Shared { left, right } => {
-                let is_right = (hash >> SHARE_HASH_SHIFT) % 1_000 < u64::from(self.right_permille);
+                let is_right = (hash >> SITE_HASH_SHIFT) % 1_000 < u64::from(self.right_permille);
                 let (own, other) = if is_right { (right, left) } else { (left, right) };
-                (&own[place], Some(&other[place]))
+                (&own[index], Some(&other[index]))
             }
         }
     }
 
-    /// Appends agents that are not listed yet.
+    /// Appends agents, none of which may be listed yet.
     fn push<'a>(&self, candidates: &mut CandidateList, agents: impl Iterator<Item = &'a u16>) {
         agents.for_each(|agent| candidates.push_distinct(self.agents[usize::from(*agent)]));
     }
 
-    fn is_living(&self, agent: u16) -> bool {
+    fn is_alive(&self, agent: u16) -> bool {
         !self.suspects[usize::from(agent)]
     }
 
@@ -245,7 +251,7 @@
     }
 }
 
-/// Every back end of the kept generations and of the configuration, in the order of identity.
+/// All back ends of the kept generations and of the configuration, sorted by id.
 fn all_agents(service: &Service) -> Vec<Candidate> {
     let members = service.generations.iter().flat_map(|generation| &generation.members);
     let attached = service.backends.values();
--- a/crates/steering/tests/shares.rs
+++ b/crates/steering/tests/shares.rs
@@ -1,4 +1,5 @@
-//! New flows go to the site that their share says; flows that exist are found on either.
+//! During a shift between sites, new flows follow the sites' shares, and existing flows are found
+//! on either site.
 
 use loftdrift_configuration::{Configuration, apply, parse_script, stamp};
 use loftdrift_steering::SteeringMap;
@@ -7,7 +8,8 @@
 use std::time::Duration;
 
 const FLOWS: u16 = 4_000;
-/// Back ends `a` and `b` stand on the left with identities 1 and 2, `c` and `d` on the right.
+/// The first back end of the right site. `a` and `b`, with ids 1 and 2, are on the left site; `c`
+/// and `d` are on the right.
 const FIRST_RIGHT: BackendId = BackendId(3);
 
 fn map() -> SteeringMap {
@@ -35,7 +37,8 @@
     }
 }
 
-/// Share of new flows whose candidates all stand on the right; a mixed tour fails.
+/// Share of new flows whose eligible candidates are all on the right site. Panics if the eligible
+/// candidates of a flow are on both sites.
 fn right_share(map: &SteeringMap) -> f64 {
     let is_right = |port: u16| {
         let option = map.service(&flow(port)).expect("a service").new_flow_option(&flow(port));
@@ -48,7 +51,7 @@
 }
 
 #[test]
-fn new_flows_follow_the_share() {
+fn new_flows_follow_the_shares_of_the_sites() {
     let mut map = map();
     for (unix_seconds, expected) in [(0, 0.0), (1_000, 0.0), (1_050, 0.5), (1_100, 1.0)] {
         map.set_time(Duration::from_secs(unix_seconds));
@@ -58,7 +61,7 @@
 }
 
 #[test]
-fn flows_of_before_the_shift_are_found_after_it() {
+fn flows_opened_before_a_shift_are_found_after_it() {
     let mut before = map();
     before.set_time(Duration::from_secs(1_000));
     let mut after = before.clone();
--- a/crates/wire/src/flow_hash.rs
+++ b/crates/wire/src/flow_hash.rs
@@ -1,14 +1,14 @@
-//! A flow's hash, which every node computes alike.
+//! The flow hash, which is the same on every node.
 
 use crate::FlowKey;
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Keys of the hash: fixed, as all nodes must agree; balance does not rest on their secrecy, since
-/// new flows are placed by load.
+/// Keys of the hash. They are fixed, as all nodes must compute the same hash. They need not be
+/// secret: new flows are placed by load, so a caller that crafts hashes cannot unbalance the load.
 const FLOW_KEYS: (u64, u64) = (0x6c6f_6674_6472_6966, 0x7466_6c6f_7773_0001);
 
-/// The flow's hash, the same on every node.
+/// Hash of a flow's addresses, ports and transport protocol, the same on every node.
 pub fn flow_hash(flow: &FlowKey) -> u64 {
     let mut hasher = SipHasher13::new_with_keys(FLOW_KEYS.0, FLOW_KEYS.1);
     let addresses =
--- a/crates/wire/src/geneve.rs
+++ b/crates/wire/src/geneve.rs
@@ -7,10 +7,10 @@
 pub const GENEVE_HEADER_BYTES: usize = 8;
 /// The largest virtual network identifier, 24 bits.
 pub const MAX_VNI: u32 = 0x00FF_FFFF;
-/// Type of loftdrift's steering option; its top bit says *critical* (RFC 8926, section 3.5).
+/// Type of loftdrift's steering option. Its top bit marks it as *critical* (RFC 8926, section 3.5).
 pub const STEERING_OPTION_TYPE: u8 = 0x81;
 
-/// Option class for experiments (RFC 8926, section 7: 0xFF00 to 0xFFFF).
+/// Option class in the range for experimental use (RFC 8926, section 7: 0xFF00 to 0xFFFF).
 const OPTION_CLASS: u16 = 0xFF4C;
 const PROTOCOL_IPV4: u16 = 0x0800;
 const OPTION_HEADER_BYTES: usize = 4;
@@ -20,7 +20,7 @@
 const OPTION_LENGTH_MASK: u8 = 0x1F;
 const HEADER_OPTION_LENGTH_MASK: u8 = 0x3F;
 
-/// Why a datagram is not a GENEVE packet for us. Each reason has its own counter.
+/// Why a datagram is not accepted as a GENEVE packet. Each reason has its own counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum GeneveError {
     /// The datagram ends inside the header or the options.
@@ -32,7 +32,7 @@
     /// The inner protocol is not IPv4.
     #[error("the inner protocol is not IPv4")]
     UnknownProtocol,
-    /// A critical option that this program does not know (RFC 8926: drop).
+    /// A critical option that this program does not know. RFC 8926 requires dropping the packet.
     #[error("unknown critical GENEVE option")]
     UnknownCriticalOption,
     /// The steering option does not decode.
@@ -40,14 +40,15 @@
     Steering(#[from] OptionError),
 }
 
-/// A decoded GENEVE packet that borrows the datagram.
+/// A decoded GENEVE packet, borrowed from the datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GenevePacket<'a> {
-    /// The O bit: a control message (here a liveness echo) without inner packet.
+    /// The O bit: a control message (here a liveness echo) instead of an inner packet.
     pub control: bool,
-    /// Virtual network identifier: the service's identity, 0 from the fabric.
+    /// Virtual network identifier (VNI): the service's id, 0 in packets from and to the fabric, or
+    /// the kind of a liveness echo.
     pub vni: u32,
-    /// The steering option, when present.
+    /// The steering option, if present.
     pub steering: Option<SteeringOption>,
     /// Offset of the inner packet in the datagram, in bytes.
     pub inner_offset: usize,
@@ -56,7 +57,7 @@
 }
 
 impl<'a> GenevePacket<'a> {
-    /// Decodes a datagram; unknown options that are not critical are skipped.
+    /// Decodes a datagram. Unknown options that are not critical are skipped.
     pub fn parse(datagram: &'a [u8]) -> Result<Self, GeneveError> {
         let header = datagram.get(..GENEVE_HEADER_BYTES).ok_or(GeneveError::Truncated)?;
         if header[0] >> 6 != 0 {
@@ -97,10 +98,10 @@
     Ok(steering)
 }
 
-/// Writes header and steering option so that they end exactly at `headroom`'s end.
+/// Writes the GENEVE header and steering option so that they end at the end of `headroom`.
 ///
-/// The caller keeps the inner packet behind `headroom`, so nothing is copied. Returns the offset
-/// at which the datagram starts, or `None` when `headroom` is too short.
+/// The caller keeps the inner packet directly behind `headroom`, so the packet is not copied.
+/// Returns the offset in `headroom` at which the datagram starts, or `None` if it is too short.
 pub fn write_header(
     headroom: &mut [u8],
     vni: u32,
@@ -131,7 +132,8 @@
     Some(start)
 }
 
-/// A whole datagram with `inner` inside; the allocating convenience for paths that are not hot.
+/// Encodes a datagram with the inner packet `inner`. Allocates, so not for the forwarding path of
+/// the balancer.
 pub fn encode_packet(vni: u32, steering: Option<&SteeringOption>, inner: &[u8]) -> Vec<u8> {
     const HEADROOM: usize = GENEVE_HEADER_BYTES + OPTION_HEADER_BYTES + MAX_OPTION_BYTES;
     let mut datagram = vec![0_u8; HEADROOM + inner.len()];
@@ -141,32 +143,32 @@
     datagram
 }
 
-/// Whether a liveness echo asks or answers; carried in the VNI of a control packet.
+/// Kind of a liveness echo, carried in the VNI of a control packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EchoKind {
-    /// Asks the receiver to answer when it is in service.
+    /// Asks the receiver to reply if it is in service.
     Request,
-    /// Answers with the request's sequence number.
+    /// Replies with the request's sequence number.
     Reply,
 }
 
 const ECHO_REQUEST_VNI: u32 = 0;
 const ECHO_REPLY_VNI: u32 = 1;
 
-/// A liveness echo: the O bit, with a sequence number in place of the inner packet.
+/// A liveness echo: a control packet with a sequence number in place of the inner packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Echo {
-    /// Whether it asks or answers.
+    /// Request or reply.
     pub kind: EchoKind,
-    /// Number that ties an answer to its request.
+    /// Sequence number that matches a reply to its request.
     pub sequence: u64,
 }
 
-/// Bytes of an echo's datagram.
+/// Length of an echo's datagram.
 pub const ECHO_BYTES: usize = GENEVE_HEADER_BYTES + 8;
 
 impl Echo {
-    /// The datagram.
+    /// Encodes the echo as a datagram.
     pub fn encode(self) -> Vec<u8> {
         let vni = match self.kind {
             EchoKind::Request => ECHO_REQUEST_VNI,
@@ -177,7 +179,7 @@
         datagram
     }
 
-    /// The echo in a control packet; `None` when it is none.
+    /// Decodes an echo from a control packet; `None` if the packet is not a valid echo.
     pub fn decode(packet: &GenevePacket<'_>) -> Option<Self> {
         let kind = match packet.vni {
             ECHO_REQUEST_VNI => EchoKind::Request,
--- a/crates/wire/src/inner.rs
+++ b/crates/wire/src/inner.rs
@@ -1,4 +1,4 @@
-//! Inner IPv4 packets: which flow a packet belongs to and what it says about it.
+//! Inner IPv4 packets: which flow a packet belongs to and whether it opens the flow.
 
 use crate::cookie::NO_COOKIE;
 use etherparse::{IpNumber, Ipv4HeaderSlice, PacketBuilder, TcpHeaderSlice, UdpHeaderSlice};
@@ -14,71 +14,73 @@
     Udp,
 }
 
-/// The identity of a flow: caller's and service's address.
+/// The key of a flow: the caller's and the service's address and the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// The caller.
+    /// Address of the caller.
     pub caller: SocketAddrV4,
-    /// The service's address, as the caller dialled it.
+    /// Address of the service to which the caller connects.
     pub service: SocketAddrV4,
-    /// The protocol.
+    /// Transport protocol.
     pub transport: Transport,
 }
 
 impl FlowKey {
-    /// The key with both addresses exchanged: that of the flow whose answer a packet is.
+    /// The key with both addresses swapped. Turns the key parsed from a packet that the service
+    /// sends into the key of its flow.
     pub fn reversed(self) -> Self {
         FlowKey { caller: self.service, service: self.caller, transport: self.transport }
     }
 }
 
-/// What a packet says about its flow.
+/// Kind of a packet, by what it means for its flow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SegmentKind {
-    /// A TCP segment with SYN and without ACK: a new flow.
-    Open,
-    /// A TCP segment of a flow that exists.
+    /// A TCP segment with SYN and without ACK: it opens a flow.
+    Syn,
+    /// Any other TCP segment: it belongs to an existing flow.
     Established {
-        /// The acknowledgement number, when the ACK flag is set.
+        /// The acknowledgement number, if the ACK flag is set.
         acknowledgement: Option<u32>,
-        /// RST is set.
+        /// Whether the RST flag is set.
         reset: bool,
     },
-    /// A UDP datagram: of a new flow or of one that exists.
+    /// A UDP datagram, of a new or an existing flow.
     Datagram,
 }
 
-/// An inner packet's identity and meaning.
+/// What the headers of an inner packet say.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InnerPacket {
     /// The flow, with the packet's source as caller.
     pub flow: FlowKey,
-    /// What the packet says.
+    /// Kind of the packet.
     pub kind: SegmentKind,
-    /// The echoed TCP timestamp (TSecr, RFC 7323), when there is one.
+    /// The echoed TCP timestamp (TSecr, RFC 7323), if there is one that is not zero.
     pub timestamp_echo: Option<u32>,
-    /// Where the transport header starts, in bytes.
+    /// Offset of the transport header in the packet, in bytes.
     pub transport_offset: usize,
 }
 
 /// Why an inner packet is dropped. Each reason has its own counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InnerError {
-    /// Not a whole IPv4 packet, or its length disagrees with the datagram.
-    #[error("not a whole IPv4 packet")]
+    /// Not a complete IPv4 packet with its TCP or UDP header, or a length field does not match.
+    #[error("incomplete IPv4 packet, or a length field that does not match")]
     Malformed,
     /// The IPv4 header checksum is wrong.
     #[error("wrong IPv4 header checksum")]
     Checksum,
     /// The packet is a fragment (RFC 791); the fabric must not fragment.
-    #[error("fragmented packet")]
+    #[error("the packet is an IPv4 fragment")]
     Fragment,
-    /// Neither TCP nor UDP.
-    #[error("neither TCP nor UDP")]
+    /// The transport protocol is neither TCP nor UDP.
+    #[error("transport protocol is neither TCP nor UDP")]
     UnknownTransport,
 }
 
-/// Reads an inner packet; the transport checksum is checked where the flow ends, not here.
+/// Parses an inner packet. Does not verify the TCP or UDP checksum: the agent that receives the
+/// packet does.
 pub fn parse_inner(packet: &[u8]) -> Result<InnerPacket, InnerError> {
     let header = Ipv4HeaderSlice::from_slice(packet).map_err(|_| InnerError::Malformed)?;
     if usize::from(header.total_len()) != packet.len() {
@@ -128,7 +130,7 @@
 
 fn tcp_kind(tcp: &TcpHeaderSlice<'_>) -> SegmentKind {
     if tcp.syn() && !tcp.ack() {
-        return SegmentKind::Open;
+        return SegmentKind::Syn;
     }
     let acknowledgement = tcp.ack().then(|| tcp.acknowledgment_number());
     SegmentKind::Established { acknowledgement, reset: tcp.rst() }
@@ -164,9 +166,10 @@
     }
 }
 
-/// The TCP reset that answers `packet`, from the service's address (RFC 9293, section 3.5.2).
+/// Builds the TCP reset that answers `packet`, sent from the service's address (RFC 9293, section
+/// 3.5.2).
 ///
-/// `None` when the packet is not TCP or is itself a reset, which is never answered.
+/// `None` if the packet is not TCP or is itself a reset, which must not be answered.
 pub fn reset_for(packet: &[u8]) -> Option<Vec<u8>> {
     const RESET_HOP_LIMIT: u8 = 64;
     let inner = parse_inner(packet).ok()?;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
 //! Packet formats on the data path, without I/O.
 //!
-//! A packet travels as a whole IPv4 packet inside GENEVE (RFC 8926) over UDP. Between balancers and
-//! agents the GENEVE header also carries the [`SteeringOption`]: the ordered, short list of agents
-//! that may hold the packet's flow. All decoders take untrusted bytes, return typed errors and
-//! never panic.
+//! Each packet is carried as a complete IPv4 packet inside GENEVE (RFC 8926) over UDP. Between
+//! balancers and agents the GENEVE header also carries the [`SteeringOption`]: a short, ordered
+//! list of the agents that may own the packet's flow. All decoders accept untrusted bytes, return
+//! typed errors and never panic.
 
 mod cookie;
 mod flow_hash;
--- a/crates/wire/src/steering_option.rs
+++ b/crates/wire/src/steering_option.rs
@@ -1,32 +1,34 @@
-//! The steering option: which agents may hold a packet's flow, and how far the packet has come.
+//! The steering option: which agents may own a packet's flow, and which of them the packet has
+//! visited.
 
 use bincode::{Decode, Encode};
 use std::net::SocketAddrV4;
 use thiserror::Error;
 
-/// Most candidates that one packet carries.
+/// Maximum number of candidates in one packet.
 pub const MAX_CANDIDATES: usize = 12;
-/// Most further lists that a packet is given when nobody on its first one knows its flow.
+/// Maximum number of further candidate lists (pages) that a packet gets if no agent on its first
+/// list owns its flow.
 pub const MAX_PAGES: u8 = 4;
-/// Most bytes of the option's body; GENEVE allows 124.
+/// Maximum length of the option's body. GENEVE allows 124 bytes.
 pub const MAX_OPTION_BYTES: usize = FIXED_BYTES + MAX_CANDIDATES * CANDIDATE_BYTES;
 
 const FIXED_BYTES: usize = 16;
 const CANDIDATE_BYTES: usize = 8;
-const NO_BEST: u8 = 0xFF;
+const NO_CANDIDATE: u8 = 0xFF;
 
 const CODEC: bincode::config::Configuration<bincode::config::BigEndian, bincode::config::Fixint> =
     bincode::config::standard().with_big_endian().with_fixed_int_encoding();
 
-/// Identity of a service, at most 24 bits: the GENEVE virtual network identifier.
+/// Id of a service, at most 24 bits. It is used as the GENEVE virtual network identifier (VNI).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServiceId(pub u32);
 
-/// Identity of a back end, unique over all services and never used again.
+/// Id of a back end, unique over all services and never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct BackendId(pub u16);
 
-/// A back end that may hold a flow, by the address of the agent beside it.
+/// A back end that may own a flow, and its agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Candidate {
     /// The back end.
@@ -35,27 +37,28 @@
     pub agent: SocketAddrV4,
 }
 
-/// What the packet asks of the agents on its list.
+/// What the agents on the list do with the packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SteeringMode {
-    /// The flow exists: the first agent that knows it takes the packet.
+    /// Find an existing flow: the first agent that owns it takes the packet.
     Locate,
-    /// A new flow: every candidate adds its load, the last one hands the packet to the best.
+    /// Select an agent for a new flow: every candidate compares its load with the lowest so far,
+    /// and the last one forwards the packet to the least loaded.
     Select,
-    /// The tour chose this agent: it opens the flow.
+    /// Open the flow: this agent was selected.
     Open,
 }
 
-/// The least loaded candidate seen so far on a tour.
+/// The least loaded candidate that a packet has visited so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeastLoaded {
-    /// Its place in the candidate list.
+    /// Its index in the candidate list.
     pub index: u8,
-    /// Its load: open flows as a share of its weight, in units that only compare.
+    /// Its load: flows per slot, in units that only serve for comparison.
     pub load: u16,
 }
 
-/// An ordered list of candidates without allocation.
+/// An ordered list of candidates that does not allocate.
 #[derive(Clone, Copy, Debug)]
 pub struct CandidateList {
     length: u8,
@@ -68,12 +71,12 @@
 };
 
 impl CandidateList {
-    /// An empty list.
+    /// Creates an empty list.
     pub const fn new() -> Self {
         CandidateList { length: 0, entries: [EMPTY_CANDIDATE; MAX_CANDIDATES] }
     }
 
-    /// Appends a candidate unless its back end is listed already or the list is full.
+    /// Appends a candidate unless its back end is already listed or the list is full.
     pub fn push(&mut self, candidate: Candidate) {
         let full = usize::from(self.length) == MAX_CANDIDATES;
         if full || self.position(candidate.backend).is_some() {
@@ -83,7 +86,8 @@
         self.length += 1;
     }
 
-    /// Appends a candidate whose back end the caller knows not to be listed; a full list stays.
+    /// Appends a candidate unless the list is full. The caller must know that its back end is not
+    /// listed yet.
     pub fn push_distinct(&mut self, candidate: Candidate) {
         if let Some(entry) = self.entries.get_mut(usize::from(self.length)) {
             *entry = candidate;
@@ -91,12 +95,12 @@
         }
     }
 
-    /// The candidates in the order of asking.
+    /// The candidates, in the order in which they are asked.
     pub fn as_slice(&self) -> &[Candidate] {
         &self.entries[..usize::from(self.length)]
     }
 
-    /// Where a back end stands in the list.
+    /// Index of a back end in the list.
     pub fn position(&self, backend: BackendId) -> Option<usize> {
         self.as_slice().iter().position(|candidate| candidate.backend == backend)
     }
@@ -116,45 +120,47 @@
 
 impl Eq for CandidateList {}
 
-/// The steering option's content.
+/// The content of a steering option.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SteeringOption {
-    /// What is asked of the agents.
+    /// What the agents do with the packet.
     pub mode: SteeringMode,
-    /// Place in the list of the agent that the packet is on its way to.
+    /// Index in the list of the candidate that the packet is sent to.
     pub cursor: u8,
-    /// How many more times agents may pass the packet on.
+    /// How many more times agents may forward the packet.
     pub hops_left: u8,
-    /// How many lists before this one were asked in vain, at most [`MAX_PAGES`].
+    /// How many candidate lists were asked without success before this one, at most [`MAX_PAGES`].
     pub page: u8,
-    /// The first so many candidates may open new flows; the rest may only hold old ones.
+    /// Number of candidates, from the start of the list, that are asked first to open a new flow.
+    /// The rest may own existing flows, and are asked if none of the first accepts.
     pub eligible_count: u8,
-    /// The best candidate seen on the tour.
+    /// The least loaded candidate so far; `None` if none has accepted the flow.
     pub least_loaded: Option<LeastLoaded>,
-    /// The service's configuration epoch in which the balancer decided.
+    /// Epoch of the service's configuration from which the list was made.
     pub epoch: u64,
     /// The agents to ask, in order.
     pub candidates: CandidateList,
 }
 
-/// Why an option's body is refused.
+/// Why an option's body is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum OptionError {
-    /// The body does not have the length its content needs.
-    #[error("wrong length")]
+    /// The body's length does not match its content.
+    #[error("the length does not match the content")]
     Length,
-    /// The mode is none of the known ones.
-    #[error("unknown mode")]
+    /// The mode is unknown.
+    #[error("unknown steering mode")]
     Mode,
-    /// The cursor, the eligible count or the best index points behind the list.
-    #[error("an index points behind the candidate list")]
+    /// The cursor, the eligible count or the index of the least loaded candidate points behind the
+    /// list, or the page exceeds [`MAX_PAGES`].
+    #[error("an index points behind the candidate list, or there are too many pages")]
     Index,
-    /// Two candidates are the same back end, or the list is too long.
-    #[error("a candidate is listed twice, or too many are")]
+    /// A back end is listed twice, or the list is too long.
+    #[error("a candidate is listed twice, or there are too many candidates")]
     Candidates,
 }
 
-/// The lower half of the first byte is the mode, the upper half the page.
+/// The first byte holds the mode in its lower and the page in its upper four bits.
 const PAGE_SHIFT: u32 = 4;
 const MODE_MASK: u8 = 0x0F;
 
@@ -166,7 +172,7 @@
     eligible_count: u8,
     least_loaded_index: u8,
     length: u8,
-    least_load: u16,
+    lowest_load: u16,
     epoch: u64,
 }
 
@@ -178,26 +184,26 @@
 }
 
 impl SteeringOption {
-    /// The candidate that the packet is on its way to.
+    /// The candidate that the packet is sent to.
     pub fn current(&self) -> Option<Candidate> {
         self.candidates.as_slice().get(usize::from(self.cursor)).copied()
     }
 
-    /// Place of the best candidate seen on the tour.
+    /// Index of the least loaded candidate so far.
     pub fn least_loaded_index(&self) -> Option<u8> {
-        self.least_loaded.map(|best| best.index)
+        self.least_loaded.map(|entry| entry.index)
     }
 
-    /// Writes the body and returns its length in bytes, a multiple of 4.
+    /// Encodes the body and returns its length in bytes, a multiple of 4.
     pub fn encode(&self, body: &mut [u8; MAX_OPTION_BYTES]) -> usize {
         let fixed = FixedPart {
             mode: self.mode as u8 | (self.page << PAGE_SHIFT),
             cursor: self.cursor,
             hops_left: self.hops_left,
             eligible_count: self.eligible_count,
-            least_loaded_index: self.least_loaded.map_or(NO_BEST, |best| best.index),
+            least_loaded_index: self.least_loaded.map_or(NO_CANDIDATE, |entry| entry.index),
             length: self.candidates.length,
-            least_load: self.least_loaded.map_or(0, |best| best.load),
+            lowest_load: self.least_loaded.map_or(0, |entry| entry.load),
             epoch: self.epoch,
         };
         let mut written = bincode::encode_into_slice(fixed, body, CODEC).unwrap_or(0);
@@ -212,7 +218,7 @@
         written
     }
 
-    /// Reads a body and checks that every index lies in the list.
+    /// Decodes a body and checks that every index lies in the list.
     pub fn decode(body: &[u8]) -> Result<Self, OptionError> {
         let (fixed, mut read): (FixedPart, usize) =
             bincode::decode_from_slice(body, CODEC).map_err(|_| OptionError::Length)?;
@@ -252,9 +258,9 @@
             2 => SteeringMode::Open,
             _ => return Err(OptionError::Mode),
         };
-        let least_loaded = (self.least_loaded_index != NO_BEST)
-            .then_some(LeastLoaded { index: self.least_loaded_index, load: self.least_load });
-        let index_in_list = least_loaded.is_none_or(|best| best.index < self.length);
+        let least_loaded = (self.least_loaded_index != NO_CANDIDATE)
+            .then_some(LeastLoaded { index: self.least_loaded_index, load: self.lowest_load });
+        let index_in_list = least_loaded.is_none_or(|entry| entry.index < self.length);
         if self.cursor >= self.length || self.eligible_count > self.length || !index_in_list {
             return Err(OptionError::Index);
         }
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Packets that are written read back alike; others are refused without panic.
+//! Encoded packets decode to the same values; arbitrary and damaged bytes never cause a panic.
 
 use arbtest::arbitrary::{self, Unstructured};
 use loftdrift_testkit::check_fixed_seeds;
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_packet_reads_back_as_it_was_written() {
+fn a_packet_decodes_to_what_was_encoded() {
     check_fixed_seeds(|input| {
         let option = any_option(input)?;
         let vni = input.int_in_range(0..=MAX_VNI)?;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn an_echo_reads_back_as_it_was_written() {
+fn an_echo_decodes_to_what_was_encoded() {
     let echo = Echo { kind: EchoKind::Reply, sequence: 77 };
     let datagram = echo.encode();
     let packet = GenevePacket::parse(&datagram).expect("a packet");
