--- a/crates/agent/src/admission.rs
+++ b/crates/agent/src/admission.rs
@@ -14,7 +14,7 @@
 
 /// Why a new flow is declined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Refusal {
+pub(crate) enum DeclineReason {
     /// The back end is leaving or the agent is stopping.
     Leaving,
     /// The back end accepts no connections.
@@ -49,15 +49,15 @@
         now: Duration,
         backend: &Backend,
         active_flows: usize,
-    ) -> Result<u16, Refusal> {
+    ) -> Result<u16, DeclineReason> {
         if self.stopping || !backend.state.takes_new_flows() {
-            return Err(Refusal::Leaving);
+            return Err(DeclineReason::Leaving);
         }
         if !self.health.accepts() {
-            return Err(Refusal::Unreachable);
+            return Err(DeclineReason::Unreachable);
         }
         if active_flows as u64 >= u64::from(backend.connections) {
-            return Err(Refusal::Full);
+            return Err(DeclineReason::Full);
         }
         let warm_up_left = match backend.state {
             BackendState::Joining => 1.0,
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -358,8 +358,8 @@
         let load = self.admission.load(now, &spec.backend, self.flows.active_flows());
         match load {
             Ok(load) => Some(load),
-            Err(refusal) => {
-                self.counters.count_refusal(refusal);
+            Err(reason) => {
+                self.counters.count_declined(reason);
                 None
             }
         }
--- a/crates/agent/src/counters.rs
+++ b/crates/agent/src/counters.rs
@@ -1,6 +1,6 @@
 //! The agent's counters.
 
-use crate::admission::Refusal;
+use crate::admission::DeclineReason;
 use loftdrift_counters::{PacketDrops, counter_set};
 
 counter_set! {
@@ -66,11 +66,11 @@
 }
 
 impl AgentCounters {
-    pub(crate) fn count_refusal(&mut self, refusal: Refusal) {
-        match refusal {
-            Refusal::Leaving => self.passed_over_leaving += 1,
-            Refusal::Unreachable => self.passed_over_unreachable += 1,
-            Refusal::Full => self.passed_over_full += 1,
+    pub(crate) fn count_declined(&mut self, reason: DeclineReason) {
+        match reason {
+            DeclineReason::Leaving => self.passed_over_leaving += 1,
+            DeclineReason::Unreachable => self.passed_over_unreachable += 1,
+            DeclineReason::Full => self.passed_over_full += 1,
         }
     }
 }
--- a/crates/agent/src/forwarding.rs
+++ b/crates/agent/src/forwarding.rs
@@ -30,11 +30,11 @@
     table: Option<&ServiceTable>,
 ) -> Action {
     let mut option = *option;
-    let known = table.map(|table| {
+    let local = table.map(|table| {
         (table.epoch(), table.existing_flow_option(&inner.flow, inner.timestamp_echo))
     });
-    let known = known.as_ref().map(|(epoch, known)| (*epoch, known.candidates.as_slice()));
-    add_newer_candidates(&mut option, known);
+    let local = local.as_ref().map(|(epoch, local)| (*epoch, local.candidates.as_slice()));
+    add_newer_candidates(&mut option, local);
     let cursor = option.cursor + 1;
     advance(option, cursor).or_else(|| next_page(option, table?)).unwrap_or(Action::Unknown)
 }
@@ -62,7 +62,7 @@
 /// Compares this agent's load with the lowest so far, for a packet that may open a flow, and moves
 /// the packet on. `load` is `None` if this agent accepts no new flow.
 ///
-/// A SYN visits the eligible candidates and, if none of them accepts the flow, the reserve behind
+/// A SYN visits the eligible candidates and, if none of them accepts the flow, the reserve after
 /// them until one does. A UDP datagram always visits every candidate, as any of them may own its
 /// flow. If no candidate accepts, the back ends that only this agent's newer configuration has are
 /// asked as well.
@@ -79,8 +79,8 @@
         option.least_loaded = Some(LeastLoaded { index: option.cursor, load });
     }
     let cursor = option.cursor + 1;
-    let has_taker = option.least_loaded.is_some() && cursor >= option.eligible_count;
-    if (!has_taker || kind == SegmentKind::Datagram)
+    let selection_done = option.least_loaded.is_some() && cursor >= option.eligible_count;
+    if (!selection_done || kind == SegmentKind::Datagram)
         && let Some(next) = advance(option, cursor)
     {
         return next;
@@ -105,8 +105,8 @@
 }
 
 /// Appends this agent's candidates if its epoch is newer than the packet's.
-fn add_newer_candidates(option: &mut SteeringOption, known: Option<(u64, &[Candidate])>) {
-    let Some((epoch, candidates)) = known.filter(|(epoch, _)| *epoch > option.epoch) else {
+fn add_newer_candidates(option: &mut SteeringOption, local: Option<(u64, &[Candidate])>) {
+    let Some((epoch, candidates)) = local.filter(|(epoch, _)| *epoch > option.epoch) else {
         return;
     };
     candidates.iter().for_each(|candidate| option.candidates.push(*candidate));
--- a/crates/agent/src/udp.rs
+++ b/crates/agent/src/udp.rs
@@ -6,7 +6,7 @@
 use smoltcp::wire::{Ipv4Packet, UdpPacket};
 use std::time::Duration;
 
-const HOP_LIMIT: u8 = 64;
+const IPV4_TTL: u8 = 64;
 const UDP_HEADER_BYTES: usize = 8;
 
 /// State of a UDP flow.
@@ -50,7 +50,7 @@
 pub(crate) fn reply_packet(flow: &FlowKey, payload: &[u8]) -> Option<Vec<u8>> {
     let from = flow.service;
     let to = flow.caller;
-    let builder = PacketBuilder::ipv4(from.ip().octets(), to.ip().octets(), HOP_LIMIT)
+    let builder = PacketBuilder::ipv4(from.ip().octets(), to.ip().octets(), IPV4_TTL)
         .udp(from.port(), to.port());
     let mut packet = Vec::with_capacity(builder.size(payload.len()));
     builder.write(&mut packet, payload).ok()?;
--- a/crates/agent/tests/limits.rs
+++ b/crates/agent/tests/limits.rs
@@ -15,7 +15,7 @@
 const TILES_VNI: u32 = 1;
 
 fn address(text: &str) -> SocketAddrV4 {
-    text.parse().expect("an address")
+    text.parse().expect("valid address")
 }
 
 fn agent(connections: u32) -> Agent {
@@ -29,15 +29,16 @@
         ramp: Duration::from_secs(10),
         seed: 7,
     })
-    .expect("a chart");
+    .expect("valid state chart");
     let script = format!(
         "create service tiles at 10.20.0.1:80\n\
          create service sheets at 10.20.0.2:80\n\
          attach backend tiles-1 to tiles at 127.0.0.1:9001 agent 10.2.0.1:6081 \
          connections {connections} state active"
     );
-    let statements = parse_script("test", &script).expect("a script");
-    let configuration = apply(&Configuration::default(), &statements).expect("a change that fits");
+    let statements = parse_script("test", &script).expect("valid script");
+    let configuration =
+        apply(&Configuration::default(), &statements).expect("applicable statements");
     agent.adopt(Duration::ZERO, &configuration);
     agent.handle_health_check(Duration::ZERO, true);
     agent
@@ -61,7 +62,7 @@
 fn syn(port: u16, service: [u8; 4]) -> Vec<u8> {
     let builder = PacketBuilder::ipv4([10, 9, 0, 1], service, 64).tcp(port, 80, 1_000, 8_192).syn();
     let mut packet = Vec::new();
-    builder.write(&mut packet, &[]).expect("a packet");
+    builder.write(&mut packet, &[]).expect("valid packet");
     packet
 }
 
@@ -69,7 +70,7 @@
     let builder =
         PacketBuilder::ipv4([10, 9, 0, 1], SERVICE, 64).tcp(port, 80, 1_001, 8_192).ack(5_000);
     let mut packet = Vec::new();
-    builder.write(&mut packet, b"hello").expect("a packet");
+    builder.write(&mut packet, b"hello").expect("valid packet");
     packet
 }
 
@@ -87,7 +88,7 @@
         let Output::Transmit { datagram, .. } = output else {
             continue;
         };
-        let packet = GenevePacket::parse(&datagram).expect("a packet");
+        let packet = GenevePacket::parse(&datagram).expect("valid packet");
         count += usize::from(packet.inner[FLAGS] & RST != 0);
     }
     count
@@ -139,10 +140,10 @@
     let datagram = encode_packet(TILES_VNI, Some(&option), &data(4_000));
     agent.handle_datagram(Duration::ZERO, address("10.1.0.1:6081"), &datagram);
     let Some(Output::Transmit { to, datagram }) = agent.take_output() else {
-        panic!("the packet was kept")
+        panic!("the packet was not forwarded")
     };
     assert_eq!(to, other.agent);
-    assert_eq!(GenevePacket::parse(&datagram).expect("a packet").inner, data(4_000));
+    assert_eq!(GenevePacket::parse(&datagram).expect("valid packet").inner, data(4_000));
     assert!(agent.take_output().is_none());
 }
 
@@ -168,10 +169,10 @@
     let datagram = encode_packet(TILES_VNI, Some(&option), &syn(5_000, SERVICE));
     agent.handle_datagram(now, address("10.1.0.1:6081"), &datagram);
     let Some(Output::Transmit { datagram, .. }) = agent.take_output() else {
-        panic!("the packet was kept")
+        panic!("the packet was not forwarded")
     };
-    let forwarded = GenevePacket::parse(&datagram).expect("a packet").steering;
-    forwarded.and_then(|option| option.least_loaded).expect("a load").load
+    let forwarded = GenevePacket::parse(&datagram).expect("valid packet").steering;
+    forwarded.and_then(|option| option.least_loaded).expect("load in the steering option").load
 }
 
 #[test]
@@ -236,8 +237,8 @@
         let mut datagram =
             encode_packet(TILES_VNI, Some(&option(SteeringMode::Select)), &syn(4_000, SERVICE));
         for _ in 0..input.int_in_range(1..=4)? {
-            let place = input.int_in_range(0..=datagram.len() - 1)?;
-            datagram[place] = input.arbitrary()?;
+            let offset = input.int_in_range(0..=datagram.len() - 1)?;
+            datagram[offset] = input.arbitrary()?;
         }
         datagram.truncate(input.int_in_range(0..=datagram.len())?);
         agent.handle_datagram(Duration::ZERO, address("10.1.0.1:6081"), &datagram);
--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -25,7 +25,7 @@
     pub to: SocketAddrV4,
     /// Offset of the datagram's first byte in the buffer.
     pub start: usize,
-    /// Offset behind the datagram's last byte.
+    /// Offset just past the datagram's last byte.
     pub end: usize,
 }
 
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -1,6 +1,6 @@
 //! The balancer's core, without I/O or clock: decides where each datagram goes next.
 //!
-//! The embedder receives each datagram into a buffer, behind [`HEADROOM_BYTES`] of free space, and
+//! The embedder receives each datagram into a buffer, after [`HEADROOM_BYTES`] of free space, and
 //! passes the buffer to [`Balancer::handle`], which writes the new header into that space. The core
 //! keeps no state per flow and allocates nothing per packet.
 
--- a/crates/balancer/tests/allocations.rs
+++ b/crates/balancer/tests/allocations.rs
@@ -17,7 +17,7 @@
     let builder = PacketBuilder::ipv4([10, 9, 0, 1], [10, 20, 0, 1], 64).tcp(4_000, 80, 1, 8_192);
     let builder = if syn { builder.syn() } else { builder.ack(1) };
     let mut packet = Vec::new();
-    builder.write(&mut packet, &[7; 500]).expect("a packet");
+    builder.write(&mut packet, &[7; 500]).expect("valid packet");
     encode_packet(0, None, &packet)
 }
 
@@ -28,8 +28,9 @@
     let script = "create service tiles at 10.20.0.1:80\n\
          attach backend tiles-1 to tiles at 127.0.0.1:9001 agent 10.2.0.1:6081 state active\n\
          attach backend tiles-2 to tiles at 127.0.0.1:9002 agent 10.2.0.2:6081 state active";
-    let statements = parse_script("test", script).expect("a script");
-    let configuration = apply(&Configuration::default(), &statements).expect("a change that fits");
+    let statements = parse_script("test", script).expect("valid script");
+    let configuration =
+        apply(&Configuration::default(), &statements).expect("applicable statements");
     let mut balancer = Balancer::new(ProbeSettings {
         interval: Duration::from_secs(1),
         timeout: Duration::from_millis(400),
@@ -37,7 +38,7 @@
         max_per_second: 10,
     });
     balancer.adopt(Duration::ZERO, &configuration);
-    let from: SocketAddrV4 = "10.0.0.1:6081".parse().expect("an address");
+    let from: SocketAddrV4 = "10.0.0.1:6081".parse().expect("valid address");
     let datagrams = [packet(true), packet(false)];
     let mut buffer = vec![0; HEADROOM_BYTES + 2_048];
     let region = Region::new(ALLOCATOR);
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -17,15 +17,16 @@
 };
 
 fn fabric() -> SocketAddrV4 {
-    "10.0.0.1:6081".parse().expect("an address")
+    "10.0.0.1:6081".parse().expect("valid address")
 }
 
 fn balancer() -> Balancer {
     let script = "create service tiles at 10.20.0.1:80\n\
          attach backend tiles-1 to tiles at 127.0.0.1:9001 agent 10.2.0.1:6081 state active\n\
          create service empty at 10.20.0.3:80";
-    let statements = parse_script("test", script).expect("a script");
-    let configuration = apply(&Configuration::default(), &statements).expect("a change that fits");
+    let statements = parse_script("test", script).expect("valid script");
+    let configuration =
+        apply(&Configuration::default(), &statements).expect("applicable statements");
     let mut balancer = Balancer::new(PROBING);
     assert!(balancer.adopt(Duration::ZERO, &configuration));
     balancer
@@ -41,7 +42,7 @@
 fn syn(service: [u8; 4], payload: &[u8]) -> Vec<u8> {
     let builder = PacketBuilder::ipv4([10, 9, 0, 1], service, 64).tcp(4_000, 80, 1, 8_192).syn();
     let mut packet = Vec::new();
-    builder.write(&mut packet, payload).expect("a packet");
+    builder.write(&mut packet, payload).expect("valid packet");
     packet
 }
 
@@ -65,8 +66,8 @@
     let packet = tiles_syn();
     let (verdict, buffer) = handle(&mut balancer, &encode_packet(0, None, &packet));
     let Verdict::Forward(forward) = verdict else { panic!("{verdict:?}") };
-    assert_eq!(forward.to, "10.2.0.1:6081".parse().expect("an address"));
-    let sent = GenevePacket::parse(&buffer[forward.start..forward.end]).expect("a packet");
+    assert_eq!(forward.to, "10.2.0.1:6081".parse().expect("valid address"));
+    let sent = GenevePacket::parse(&buffer[forward.start..forward.end]).expect("valid packet");
     assert_eq!((sent.vni, sent.inner), (1, packet.as_slice()));
     assert_eq!(sent.steering.map(|option| option.mode), Some(SteeringMode::Select));
 }
@@ -139,9 +140,9 @@
         let mut datagram: Vec<u8> = input.arbitrary()?;
         if input.arbitrary()? {
             let good = encode_packet(0, None, &tiles_syn());
-            let place = input.int_in_range(0..=good.len() - 1)?;
+            let offset = input.int_in_range(0..=good.len() - 1)?;
             datagram = good;
-            datagram[place] = input.arbitrary()?;
+            datagram[offset] = input.arbitrary()?;
         }
         handle(&mut balancer, &datagram);
         assert_eq!(balancer.counters.received, 1);
--- a/crates/flow/src/endpoint.rs
+++ b/crates/flow/src/endpoint.rs
@@ -14,9 +14,9 @@
 /// Largest IPv4 packet that an endpoint sends.
 const MTU_BYTES: usize = 1_500;
 /// The connection is aborted after this time without a packet from the peer.
-const SILENCE_TIMEOUT: smoltcp::time::Duration = smoltcp::time::Duration::from_secs(120);
+const PEER_TIMEOUT: smoltcp::time::Duration = smoltcp::time::Duration::from_secs(120);
 /// Interval of TCP keep-alive probes on an idle connection. Two of them may be lost before
-/// [`SILENCE_TIMEOUT`].
+/// [`PEER_TIMEOUT`].
 const KEEP_ALIVE_INTERVAL: smoltcp::time::Duration = smoltcp::time::Duration::from_secs(35);
 const PREFIX_BITS: u8 = 32;
 
@@ -49,21 +49,21 @@
 }
 
 /// The `smoltcp` device of one poll: takes in at most one packet, sends any number of packets.
-struct OnePoll<'p> {
+struct PollDevice<'p> {
     received: Option<&'p [u8]>,
     to_send: &'p mut VecDeque<Vec<u8>>,
 }
 
-struct Received<'p>(&'p [u8]);
-struct Sending<'a>(&'a mut VecDeque<Vec<u8>>);
+struct ReceiveToken<'p>(&'p [u8]);
+struct TransmitToken<'a>(&'a mut VecDeque<Vec<u8>>);
 
-impl RxToken for Received<'_> {
+impl RxToken for ReceiveToken<'_> {
     fn consume<R, F: FnOnce(&[u8]) -> R>(self, read: F) -> R {
         read(self.0)
     }
 }
 
-impl TxToken for Sending<'_> {
+impl TxToken for TransmitToken<'_> {
     fn consume<R, F: FnOnce(&mut [u8]) -> R>(self, length: usize, write: F) -> R {
         let mut packet = vec![0; length];
         let result = write(&mut packet);
@@ -72,23 +72,23 @@
     }
 }
 
-impl<'p> Device for OnePoll<'p> {
+impl<'p> Device for PollDevice<'p> {
     type RxToken<'a>
-        = Received<'p>
+        = ReceiveToken<'p>
     where
         Self: 'a;
     type TxToken<'a>
-        = Sending<'a>
+        = TransmitToken<'a>
     where
         Self: 'a;
 
-    fn receive(&mut self, _: Instant) -> Option<(Received<'p>, Sending<'_>)> {
+    fn receive(&mut self, _: Instant) -> Option<(ReceiveToken<'p>, TransmitToken<'_>)> {
         let packet = self.received.take()?;
-        Some((Received(packet), Sending(self.to_send)))
+        Some((ReceiveToken(packet), TransmitToken(self.to_send)))
     }
 
-    fn transmit(&mut self, _: Instant) -> Option<Sending<'_>> {
-        Some(Sending(self.to_send))
+    fn transmit(&mut self, _: Instant) -> Option<TransmitToken<'_>> {
+        Some(TransmitToken(self.to_send))
     }
 
     fn capabilities(&self) -> DeviceCapabilities {
@@ -158,7 +158,7 @@
         let mut to_send = VecDeque::new();
         let mut config = Config::new(HardwareAddress::Ip);
         config.random_seed = settings.sequence_seed;
-        let mut device = OnePoll { received: None, to_send: &mut to_send };
+        let mut device = PollDevice { received: None, to_send: &mut to_send };
         let mut interface = Interface::new(config, &mut device, instant(now));
         interface.update_ip_addrs(|addresses| {
             // Cannot fail: the list is empty, so it has room for one.
@@ -170,7 +170,7 @@
         let mut socket = tcp::Socket::new(buffer(), buffer());
         socket.set_nagle_enabled(false);
         socket.set_ack_delay(None);
-        socket.set_timeout(Some(SILENCE_TIMEOUT));
+        socket.set_timeout(Some(PEER_TIMEOUT));
         socket.set_keep_alive(Some(KEEP_ALIVE_INTERVAL));
         if settings.timestamps != Timestamps::Off {
             socket.set_tsval_generator(Some(|| TIMESTAMP_VALUE.with(Cell::get)));
@@ -206,7 +206,7 @@
             Timestamps::Off => 0,
         };
         TIMESTAMP_VALUE.with(|cell| cell.set(value));
-        let mut device = OnePoll { received, to_send: &mut self.to_send };
+        let mut device = PollDevice { received, to_send: &mut self.to_send };
         self.interface.poll(instant(now), &mut device, &mut self.sockets);
         if self.initial_sequence.is_none() {
             self.initial_sequence = self.to_send.front().and_then(|packet| {
--- a/crates/liveness/src/lib.rs
+++ b/crates/liveness/src/lib.rs
@@ -26,9 +26,9 @@
 #[derive(Clone, Copy, Debug)]
 struct Peer {
     /// When to send the next probe.
-    due: Duration,
+    next_probe: Duration,
     /// Sequence number of the probe that has not been answered yet.
-    waiting: Option<u64>,
+    unanswered: Option<u64>,
     /// Probes missed in a row.
     missed: u32,
     dead: bool,
@@ -49,9 +49,9 @@
     settings: ProbeSettings,
     peers: BTreeMap<SocketAddrV4, Peer>,
     next_sequence: u64,
-    /// Start of the one-second window in which `sent` probes were sent.
-    second: Duration,
-    sent: u32,
+    /// Start of the one-second window in which `sent_in_window` probes were sent.
+    window_start: Duration,
+    sent_in_window: u32,
     changed: bool,
 }
 
@@ -62,33 +62,33 @@
             settings,
             peers: BTreeMap::new(),
             next_sequence: 1,
-            second: Duration::ZERO,
-            sent: 0,
+            window_start: Duration::ZERO,
+            sent_in_window: 0,
             changed: false,
         }
     }
 
     /// Sets the peers to probe. New peers count as alive and are due for a probe at once.
     pub fn set_peers(&mut self, now: Duration, peers: impl Iterator<Item = SocketAddrV4>) {
-        let fresh = Peer { due: now, waiting: None, missed: 0, dead: false };
+        let new_peer = Peer { next_probe: now, unanswered: None, missed: 0, dead: false };
         let known = std::mem::take(&mut self.peers);
-        let keep = |address| (address, known.get(&address).copied().unwrap_or(fresh));
+        let keep = |address| (address, known.get(&address).copied().unwrap_or(new_peer));
         self.peers = peers.map(keep).collect();
         self.changed = true;
     }
 
     /// Returns the probes to send now, within the rate limit.
     pub fn tick(&mut self, now: Duration) -> Vec<Probe> {
-        if now >= self.second + Duration::from_secs(1) {
-            self.second = now;
-            self.sent = 0;
+        if now >= self.window_start + Duration::from_secs(1) {
+            self.window_start = now;
+            self.sent_in_window = 0;
         }
         let mut probes = Vec::new();
         for (address, peer) in &mut self.peers {
-            if peer.due > now || self.sent == self.settings.max_per_second {
+            if peer.next_probe > now || self.sent_in_window == self.settings.max_per_second {
                 continue;
             }
-            if peer.waiting.is_some() {
+            if peer.unanswered.is_some() {
                 peer.missed += 1;
                 let dead = peer.missed >= self.settings.miss_threshold;
                 self.changed |= dead != peer.dead;
@@ -96,9 +96,10 @@
             }
             let sequence = self.next_sequence;
             self.next_sequence += 1;
-            self.sent += 1;
-            peer.waiting = Some(sequence);
-            peer.due = now + if peer.dead { self.settings.interval } else { self.settings.timeout };
+            self.sent_in_window += 1;
+            peer.unanswered = Some(sequence);
+            peer.next_probe =
+                now + if peer.dead { self.settings.interval } else { self.settings.timeout };
             probes.push(Probe { to: *address, echo: Echo { kind: EchoKind::Request, sequence } });
         }
         probes
@@ -112,8 +113,8 @@
         self.changed |= peer.dead;
         peer.dead = false;
         peer.missed = 0;
-        peer.waiting = None;
-        peer.due = now + self.settings.interval;
+        peer.unanswered = None;
+        peer.next_probe = now + self.settings.interval;
     }
 
     /// Whether a peer is considered dead. Peers that are not probed are not.
--- a/crates/steering/src/lib.rs
+++ b/crates/steering/src/lib.rs
@@ -1,4 +1,4 @@
-//! Which agents a packet should ask, without I/O or clock.
+//! Chooses the agents that a packet visits, without I/O or clock.
 //!
 //! [`SteeringMap`] is built from a configuration and returns a short, ordered list of candidates
 //! for each packet. It keeps no state per flow: the list depends on the configuration, the flow's
--- a/crates/steering/src/service.rs
+++ b/crates/steering/src/service.rs
@@ -57,7 +57,7 @@
     id: ServiceId,
     epoch: u64,
     /// Mask of the hash bits that choose the bucket.
-    mask: usize,
+    bucket_mask: usize,
     buckets: SiteBuckets,
     shift: Option<SiteShift>,
     /// Current share of new flows for the right site, in thousandths.
@@ -77,7 +77,7 @@
         let mut table = ServiceTable {
             id: service.service_id(),
             epoch: service.generations.first().map_or(0, |newest| newest.epoch),
-            mask: count - 1,
+            bucket_mask: count - 1,
             buckets: SiteBuckets::Any(Vec::new()),
             shift: service.shift,
             right_permille: service.shift.map_or(0, |shift| shift.from_permille),
@@ -96,7 +96,7 @@
     }
 
     fn build_buckets(&self, service: &Service, site: Option<Site>) -> Vec<Bucket> {
-        (0..=self.mask).map(|bucket| self.build_bucket(service, site, bucket)).collect()
+        (0..=self.bucket_mask).map(|bucket| self.build_bucket(service, site, bucket)).collect()
     }
 
     /// Updates the sites' shares of new flows to the time `unix_now` since the Unix epoch.
@@ -118,8 +118,8 @@
         let limit = usize::from(service.candidates);
         let mut filled = Bucket::default();
         for (age, generation) in service.generations.iter().enumerate() {
-            let own_bucket = bucket & (bucket_count(generation) - 1);
-            let best = best_members(generation, site, own_bucket, limit).into_iter();
+            let generation_bucket = bucket & (bucket_count(generation) - 1);
+            let best = best_members(generation, site, generation_bucket, limit).into_iter();
             let best = best.map(|index| BackendId(generation.members[index].backend));
             best.filter_map(|backend| self.agent_index(backend))
                 .for_each(|agent| filled.push(agent));
@@ -156,7 +156,7 @@
     /// The steering option of a packet that may open a flow. It makes the candidates of the newest
     /// generation compare their loads.
     ///
-    /// Suspected agents are replaced by the next candidates. Behind the eligible candidates the
+    /// Suspected agents are replaced by the next candidates. After the eligible candidates the
     /// list holds a reserve, with suspected agents last: a UDP datagram may belong to a flow there,
     /// and a SYN moves on to the reserve if no eligible candidate accepts the flow.
     pub fn new_flow_option(&self, flow: &FlowKey) -> SteeringOption {
@@ -212,7 +212,7 @@
     /// site if there are two.
     fn buckets(&self, flow: &FlowKey) -> (&Bucket, Option<&Bucket>) {
         let hash = flow_hash(flow);
-        let index = hash as usize & self.mask;
+        let index = hash as usize & self.bucket_mask;
         match &self.buckets {
             SiteBuckets::Any(buckets) => (&buckets[index], None),
             SiteBuckets::Shared { left, right } => {
--- a/crates/steering/tests/shares.rs
+++ b/crates/steering/tests/shares.rs
@@ -24,9 +24,9 @@
         ));
     }
     script.push_str("shift tiles to site right 100% over 100s");
-    let mut statements = parse_script("test", &script).expect("a script");
+    let mut statements = parse_script("test", &script).expect("valid script");
     stamp(&mut statements, 1_000);
-    SteeringMap::new(&apply(&Configuration::default(), &statements).expect("a change that fits"))
+    SteeringMap::new(&apply(&Configuration::default(), &statements).expect("applicable statements"))
 }
 
 fn flow(port: u16) -> FlowKey {
@@ -41,9 +41,9 @@
 /// candidates of a flow are on both sites.
 fn right_share(map: &SteeringMap) -> f64 {
     let is_right = |port: u16| {
-        let option = map.service(&flow(port)).expect("a service").new_flow_option(&flow(port));
+        let option = map.service(&flow(port)).expect("known service").new_flow_option(&flow(port));
         let eligible = &option.candidates.as_slice()[..usize::from(option.eligible_count)];
-        let right = eligible.iter().filter(|one| one.backend >= FIRST_RIGHT).count();
+        let right = eligible.iter().filter(|candidate| candidate.backend >= FIRST_RIGHT).count();
         assert!(right == 0 || right == eligible.len(), "{option:?}");
         right > 0
     };
@@ -67,9 +67,12 @@
     let mut after = before.clone();
     after.set_time(Duration::from_secs(2_000));
     for port in 0..FLOWS {
-        let opened = before.service(&flow(port)).expect("a service").new_flow_option(&flow(port));
-        let found =
-            after.service(&flow(port)).expect("a service").existing_flow_option(&flow(port), None);
+        let opened =
+            before.service(&flow(port)).expect("known service").new_flow_option(&flow(port));
+        let found = after
+            .service(&flow(port))
+            .expect("known service")
+            .existing_flow_option(&flow(port), None);
         for candidate in &opened.candidates.as_slice()[..usize::from(opened.eligible_count)] {
             assert!(found.candidates.position(candidate.backend).is_some());
         }
--- a/crates/wire/src/geneve.rs
+++ b/crates/wire/src/geneve.rs
@@ -100,7 +100,7 @@
 
 /// Writes the GENEVE header and steering option so that they end at the end of `headroom`.
 ///
-/// The caller keeps the inner packet directly behind `headroom`, so the packet is not copied.
+/// The caller keeps the inner packet directly after `headroom`, so the packet is not copied.
 /// Returns the offset in `headroom` at which the datagram starts, or `None` if it is too short.
 pub fn write_header(
     headroom: &mut [u8],
--- a/crates/wire/src/inner.rs
+++ b/crates/wire/src/inner.rs
@@ -171,7 +171,7 @@
 ///
 /// `None` if the packet is not TCP or is itself a reset, which must not be answered.
 pub fn reset_for(packet: &[u8]) -> Option<Vec<u8>> {
-    const RESET_HOP_LIMIT: u8 = 64;
+    const RESET_TTL: u8 = 64;
     let inner = parse_inner(packet).ok()?;
     let tcp = TcpHeaderSlice::from_slice(&packet[inner.transport_offset..]).ok()?;
     if tcp.rst() || inner.flow.transport != Transport::Tcp {
@@ -181,7 +181,7 @@
     let occupied = payload_bytes as u32 + u32::from(tcp.syn()) + u32::from(tcp.fin());
     let from = inner.flow.service;
     let to = inner.flow.caller;
-    let builder = PacketBuilder::ipv4(from.ip().octets(), to.ip().octets(), RESET_HOP_LIMIT);
+    let builder = PacketBuilder::ipv4(from.ip().octets(), to.ip().octets(), RESET_TTL);
     let builder = if tcp.ack() {
         builder.tcp(from.port(), to.port(), tcp.acknowledgment_number(), 0).rst()
     } else {
--- a/crates/wire/src/steering_option.rs
+++ b/crates/wire/src/steering_option.rs
@@ -151,9 +151,9 @@
     /// The mode is unknown.
     #[error("unknown steering mode")]
     Mode,
-    /// The cursor, the eligible count or the index of the least loaded candidate points behind the
-    /// list, or the page exceeds [`MAX_PAGES`].
-    #[error("an index points behind the candidate list, or there are too many pages")]
+    /// The cursor, the eligible count or the index of the least loaded candidate is out of
+    /// range of the list, or the page exceeds [`MAX_PAGES`].
+    #[error("an index is out of range of the candidate list, or there are too many pages")]
     Index,
     /// A back end is listed twice, or the list is too long.
     #[error("a candidate is listed twice, or there are too many candidates")]
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -37,7 +37,7 @@
         let vni = input.int_in_range(0..=MAX_VNI)?;
         let inner: Vec<u8> = input.arbitrary()?;
         let datagram = encode_packet(vni, Some(&option), &inner);
-        let packet = GenevePacket::parse(&datagram).expect("a packet");
+        let packet = GenevePacket::parse(&datagram).expect("valid packet");
         assert_eq!((packet.vni, packet.steering, packet.control), (vni, Some(option), false));
         assert_eq!(packet.inner, inner);
         Ok(())
@@ -60,8 +60,8 @@
 fn a_damaged_option_is_refused_or_keeps_its_indices_in_the_list() {
     check_fixed_seeds(|input| {
         let mut datagram = encode_packet(1, Some(&any_option(input)?), &[]);
-        let place = input.int_in_range(8..=datagram.len() - 1)?;
-        datagram[place] = input.arbitrary()?;
+        let offset = input.int_in_range(8..=datagram.len() - 1)?;
+        datagram[offset] = input.arbitrary()?;
         if let Ok(GenevePacket { steering: Some(option), .. }) = GenevePacket::parse(&datagram) {
             assert!(option.current().is_some());
             let length = option.candidates.as_slice().len();
@@ -75,7 +75,7 @@
 fn an_echo_decodes_to_what_was_encoded() {
     let echo = Echo { kind: EchoKind::Reply, sequence: 77 };
     let datagram = echo.encode();
-    let packet = GenevePacket::parse(&datagram).expect("a packet");
+    let packet = GenevePacket::parse(&datagram).expect("valid packet");
     assert_eq!(Echo::decode(&packet), Some(echo));
 }
 
