--- a/crates/agent/src/admission.rs
+++ b/crates/agent/src/admission.rs
@@ -6,7 +6,8 @@
 use loftdrift_configuration::{Backend, BackendState};
 use std::time::Duration;
 
-/// Loads are integers in units of 1/16 flow per slot.
+/// Loads are integers in units of 1/16 flow per slot. A slot is one request that the back end works
+/// on at a time.
 const LOAD_SCALE: f64 = 16.0;
 /// Factor on the load of a back end that is joining or has just come up (slow start). It falls to 1
 /// over the warm-up.
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -164,7 +164,7 @@
             self.counters.flows_failed += 1;
         }
         if event == SocketEvent::Failed && is_connecting {
-            self.admission.health.on_refused(now);
+            self.admission.health.on_connect_failed(now);
             self.counters.backend_accepts = 0;
         }
         match (&mut entry.body, event) {
--- a/crates/agent/src/forwarding.rs
+++ b/crates/agent/src/forwarding.rs
@@ -59,8 +59,8 @@
     advance(option, 0)
 }
 
-/// Compares this agent's load with the lowest so far, for a packet that may open a flow, and moves
-/// the packet on. `load` is `None` if this agent accepts no new flow.
+/// Selects the agent for a packet that may open a flow: compares this agent's load with the lowest
+/// so far and forwards the packet. `load` is `None` if this agent accepts no new flow.
 ///
 /// A SYN visits the eligible candidates and, if none of them accepts the flow, the reserve after
 /// them until one does. A UDP datagram always visits every candidate, as any of them may own its
--- a/crates/agent/src/health.rs
+++ b/crates/agent/src/health.rs
@@ -77,7 +77,7 @@
 
     /// Handles a flow's failed connection attempt: no more flows until a new health check
     /// connection is accepted.
-    pub(crate) fn on_refused(&mut self, now: Duration) {
+    pub(crate) fn on_connect_failed(&mut self, now: Duration) {
         self.accepts = false;
         self.next_check = Some(now + RETRY_INTERVAL);
     }
--- a/crates/agent/tests/limits.rs
+++ b/crates/agent/tests/limits.rs
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn an_acknowledgement_of_another_agents_handshake_is_forwarded() {
+fn an_acknowledgement_of_another_agents_handshake_is_passed_on() {
     let mut agent = agent(10);
     send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(resets(&mut agent), 0);
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -43,7 +43,8 @@
     Failed,
 }
 
-/// A flow: a TCP endpoint towards the caller and a socket towards the back end.
+/// A flow: a TCP endpoint connected to a socket of the host. At an agent the endpoint faces the
+/// caller and the socket faces the back end.
 #[derive(Debug)]
 pub struct SplicedFlow {
     endpoint: Endpoint,
--- a/crates/liveness/src/lib.rs
+++ b/crates/liveness/src/lib.rs
@@ -2,8 +2,8 @@
 //! or clock: the embedder calls [`Prober::tick`] with the time, sends the probes that it returns
 //! and reports replies.
 //!
-//! The result is the opinion of one node. Its users may only let it change the order in which they
-//! ask peers, or which peers get new work.
+//! The result is the view of one node. Its users may only let it change the order in which they ask
+//! peers, or which peers get new work.
 
 use loftdrift_wire::{Echo, EchoKind};
 use std::collections::BTreeMap;
--- a/crates/steering/src/map.rs
+++ b/crates/steering/src/map.rs
@@ -64,9 +64,9 @@
     }
 
     /// Sets which agents this node suspects to be dead.
-    pub fn set_suspects(&mut self, believed_dead: impl Fn(&Candidate) -> bool) {
+    pub fn set_suspects(&mut self, is_suspect: impl Fn(&Candidate) -> bool) {
         for table in &mut self.tables {
-            table.set_suspects(&believed_dead);
+            table.set_suspects(&is_suspect);
         }
     }
 }
--- a/crates/steering/src/service.rs
+++ b/crates/steering/src/service.rs
@@ -1,4 +1,7 @@
 //! One service's steering table.
+//!
+//! A generation is the set of back ends that accepted new flows from one configuration on. The
+//! configuration keeps the newest generations, so that flows opened under older ones are found.
 
 use crate::buckets::{best_members, bucket_count};
 use loftdrift_configuration::{Member, Service, Site, SiteShift};
@@ -148,8 +151,8 @@
     }
 
     /// Sets which agents this node suspects to be dead.
-    pub fn set_suspects(&mut self, believed_dead: impl Fn(&Candidate) -> bool) {
-        self.suspects = self.agents.iter().map(believed_dead).collect();
+    pub fn set_suspects(&mut self, is_suspect: impl Fn(&Candidate) -> bool) {
+        self.suspects = self.agents.iter().map(is_suspect).collect();
         self.any_suspect = self.suspects.contains(&true);
     }
 
--- a/crates/wire/src/flow_hash.rs
+++ b/crates/wire/src/flow_hash.rs
@@ -5,7 +5,7 @@
 use std::hash::Hasher;
 
 /// Keys of the hash. They are fixed, as all nodes must compute the same hash. They need not be
-/// secret: new flows are placed by load, so a caller that crafts hashes cannot unbalance the load.
+/// secret: the balance of load does not depend on them, since new flows are placed by load.
 const FLOW_KEYS: (u64, u64) = (0x6c6f_6674_6472_6966, 0x7466_6c6f_7773_0001);
 
 /// Hash of a flow's addresses, ports and transport protocol, the same on every node.
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -4,6 +4,9 @@
 //! balancers and agents the GENEVE header also carries the [`SteeringOption`]: a short, ordered
 //! list of the agents that may own the packet's flow. All decoders accept untrusted bytes, return
 //! typed errors and never panic.
+//!
+//! The fabric is the network between callers and balancers: it spreads the callers' packets over
+//! the balancers and takes packets back to the callers.
 
 mod cookie;
 mod flow_hash;
--- a/crates/wire/src/steering_option.rs
+++ b/crates/wire/src/steering_option.rs
@@ -129,7 +129,8 @@
     pub cursor: u8,
     /// How many more times agents may forward the packet.
     pub hops_left: u8,
-    /// How many candidate lists were asked without success before this one, at most [`MAX_PAGES`].
+    /// How many candidate lists (pages) were asked without success before this one, at most
+    /// [`MAX_PAGES`].
     pub page: u8,
     /// Number of candidates, from the start of the list, that are asked first to open a new flow.
     /// The rest may own existing flows, and are asked if none of the first accepts.
@@ -151,8 +152,8 @@
     /// The mode is unknown.
     #[error("unknown steering mode")]
     Mode,
-    /// The cursor, the eligible count or the index of the least loaded candidate is out of
-    /// range of the list, or the page exceeds [`MAX_PAGES`].
+    /// The cursor, the eligible count or the index of the least loaded candidate is out of range of
+    /// the list, or the page exceeds [`MAX_PAGES`].
     #[error("an index is out of range of the candidate list, or there are too many pages")]
     Index,
     /// A back end is listed twice, or the list is too long.
