--- a/crates/agent/src/admission.rs
+++ b/crates/agent/src/admission.rs
@@ -47,7 +47,7 @@
         backend: &Backend,
         busy: usize,
     ) -> Result<u16, Refusal> {
-        if self.stopping || !backend.state.takes_new_flows() {
+        if self.stopping || !backend.state.accepts_new_flows() {
             return Err(Refusal::Leaving);
         }
         if !self.health.accepts() {
--- a/crates/agent/src/agent.rs
+++ b/crates/agent/src/agent.rs
@@ -190,7 +190,7 @@
         self.counters.received += 1;
         let packet = match GenevePacket::parse(datagram) {
             Ok(packet) => packet,
-            Err(error) => return self.counters.packets.count_geneve(error),
+            Err(error) => return self.counters.packets.count_geneve_error(error),
         };
         if packet.control {
             return self.handle_control(from, &packet);
@@ -209,7 +209,7 @@
         };
         let inner = match parse_inner(packet.inner) {
             Ok(inner) => inner,
-            Err(error) => return self.counters.packets.count_inner(error),
+            Err(error) => return self.counters.packets.count_inner_error(error),
         };
         if inner.flow.service != place.address || inner.flow.transport != place.transport {
             self.counters.refused_other_service += 1;
--- a/crates/app/src/ctl.rs
+++ b/crates/app/src/ctl.rs
@@ -5,7 +5,7 @@
 use loftdrift_charts::ChartNames;
 use loftdrift_configuration::{
     BackendState, Commit, CommitAction, CommitOutcome, Configuration, Documents, KEY_PREFIX, Query,
-    Statement, StatementKind, StoreReply, StoreRequest, apply, parse_script, stamp,
+    Statement, StatementKind, StoreReply, StoreRequest, apply, parse_script, set_start_times,
 };
 use loftdrift_findings::{Collector, Findings};
 use loftdrift_store::StoreClient;
@@ -46,7 +46,7 @@
         Err(findings) => return Ok(refuse_script(call, &findings)),
     };
     let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    stamp(&mut statements, unix_now.as_secs());
+    set_start_times(&mut statements, unix_now.as_secs());
     let changes = statements.iter().any(|one| !matches!(one.kind, StatementKind::Show(_)));
     let mut code = ExitCode::SUCCESS;
     if changes && call.dry_run {
@@ -127,7 +127,7 @@
         Format::Json => {
             let list = findings.list.iter().map(|finding| {
                 json!({
-                    "line": finding.place.line, "column": finding.place.column,
+                    "line": finding.position.line, "column": finding.position.column,
                     "problem": finding.problem, "expected": finding.expected,
                 })
             });
@@ -136,8 +136,8 @@
         }
         Format::Table => {
             for finding in &findings.list {
-                let line = call.script.lines().nth(finding.place.line - 1).unwrap_or_default();
-                let caret = " ".repeat(finding.place.column - 1);
+                let line = call.script.lines().nth(finding.position.line - 1).unwrap_or_default();
+                let caret = " ".repeat(finding.position.column - 1);
                 println!("{}\n{caret}^ {}", line, finding.problem);
                 println!("{caret}  expected {}", finding.expected);
             }
--- a/crates/app/src/lifecycle.rs
+++ b/crates/app/src/lifecycle.rs
@@ -1,6 +1,6 @@
 //! A process's life, as its state chart describes it.
 
-use loftdrift_charts::{ChartNames, TypedChart, TypedStep};
+use loftdrift_charts::{ChartNames, TypedChart, TypedTransition};
 use loftdrift_configuration::{ProcessEvent, ProcessState};
 
 /// Follows a process's chart and logs each change of state.
@@ -25,7 +25,7 @@
 
     /// Takes an event; `true` when the state has changed.
     pub fn step(&mut self, event: ProcessEvent) -> bool {
-        let TypedStep::To(state) = self.chart.step(self.state, event) else {
+        let TypedTransition::To(state) = self.chart.transition(self.state, event) else {
             return false;
         };
         log::info!(
--- a/crates/app/src/metrics.rs
+++ b/crates/app/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters in the Prometheus text format and as periodic log lines.
 
 use hyper::StatusCode;
-use loftdrift_counters::{CounterSet, PublishedSet, render, summary};
+use loftdrift_counters::{CounterSet, PublishedSet, format_nonzero, render};
 use loftdrift_http::text_answer;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -45,6 +45,6 @@
     while counters.changed().await.is_ok() {
         tokio::time::sleep(LOG_INTERVAL).await;
         let published = counters.borrow_and_update().clone();
-        log::info!(role = published.role; "counters {}", summary(&published.samples));
+        log::info!(role = published.role; "counters {}", format_nonzero(&published.samples));
     }
 }
--- a/crates/app/src/process.rs
+++ b/crates/app/src/process.rs
@@ -8,7 +8,7 @@
 use loftdrift_agent::AgentSettings;
 use loftdrift_configuration::Configuration;
 use loftdrift_counters::PublishedSet;
-use loftdrift_settings::{AgentProcess, BalancerProcess, Role};
+use loftdrift_settings::{AgentProcessSettings, BalancerProcessSettings, Role};
 use loftdrift_store::{StoreClient, follow};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -50,13 +50,16 @@
 }
 
 /// Runs a balancer until it is stopped.
-pub async fn run_balancer(settings: BalancerProcess, stop: mpsc::Receiver<()>) -> Result<()> {
-    let BalancerProcess { listen, platform, metrics, .. } = settings;
+pub async fn run_balancer(
+    settings: BalancerProcessSettings,
+    stop: mpsc::Receiver<()>,
+) -> Result<()> {
+    let BalancerProcessSettings { listen, platform, metrics, .. } = settings;
     let surroundings = Surroundings::open(Role::Balancer, listen, platform, metrics).await?;
     let _background = surroundings.background;
     balancer_process::run(BalancerTask {
         socket: surroundings.socket,
-        drain: settings.drain,
+        drain: settings.drain_duration,
         probes_per_second: settings.probes_per_second,
         configuration: surroundings.configuration,
         stop,
@@ -66,8 +69,8 @@
 }
 
 /// Runs an agent until it is stopped.
-pub async fn run_agent(settings: AgentProcess, stop: mpsc::Receiver<()>) -> Result<()> {
-    let AgentProcess { listen, platform, metrics, .. } = settings;
+pub async fn run_agent(settings: AgentProcessSettings, stop: mpsc::Receiver<()>) -> Result<()> {
+    let AgentProcessSettings { listen, platform, metrics, .. } = settings;
     let surroundings = Surroundings::open(Role::Agent, listen, platform, metrics).await?;
     let _background = surroundings.background;
     agent_process::run(AgentTask {
@@ -82,7 +85,7 @@
             ramp: settings.ramp,
             seed: rand::random(),
         },
-        drain: settings.drain,
+        drain: settings.drain_timeout,
         configuration: surroundings.configuration,
         stop,
         counters: surroundings.counters,
--- a/crates/app/src/standins.rs
+++ b/crates/app/src/standins.rs
@@ -4,7 +4,8 @@
 use crate::sockets::{announce, bind_tcp, bind_udp};
 use anyhow::Result;
 use loftdrift_settings::{
-    BackendProcess, CallersProcess, FabricProcess, ListenerTransport, PlatformProcess,
+    BackendProcessSettings, CallersProcessSettings, FabricProcessSettings, ListenerTransport,
+    PlatformProcessSettings,
 };
 use loftdrift_standin::backend::{self, BackendSettings};
 use loftdrift_standin::callers::{self, CallerEvent, CallerSettings};
@@ -17,7 +18,7 @@
 const EVENT_QUEUE: usize = 1_024;
 
 /// Runs the platform until it is killed.
-pub async fn run_platform(settings: PlatformProcess) -> Result<()> {
+pub async fn run_platform(settings: PlatformProcessSettings) -> Result<()> {
     let listener = bind_tcp("listen", settings.listen).await?;
     announce("listen", listener.local_addr())?;
     let faults = Faults {
@@ -30,15 +31,15 @@
 }
 
 /// Runs a back end until it is killed.
-pub async fn run_backend(settings: BackendProcess) -> Result<()> {
+pub async fn run_backend(settings: BackendProcessSettings) -> Result<()> {
     let listener = bind_tcp("listen", settings.listen).await?;
     announce("listen", listener.local_addr())?;
     let behaviour = BackendSettings {
         service: settings.service,
         name: settings.name,
         slots: settings.slots,
-        queue: settings.queue,
-        work: settings.work,
+        queue: settings.max_queued,
+        work: settings.work_duration,
         cold_start: settings.cold_start,
         load_lag: settings.load_lag,
     };
@@ -47,7 +48,7 @@
 }
 
 /// Runs the fabric until it is killed.
-pub async fn run_fabric(settings: FabricProcess) -> Result<()> {
+pub async fn run_fabric(settings: FabricProcessSettings) -> Result<()> {
     let socket = bind_udp("listen", settings.listen).await?;
     announce("listen", socket.local_addr())?;
     let mut listeners = Vec::new();
@@ -77,7 +78,7 @@
 
 /// Runs callers for their time and prints what they saw; fails when a flow broke or an answer was
 /// wrong.
-pub async fn run_callers(settings: CallersProcess) -> Result<ExitCode> {
+pub async fn run_callers(settings: CallersProcessSettings) -> Result<ExitCode> {
     let (events_sender, mut events) = mpsc::channel(EVENT_QUEUE);
     let (stop_sender, stop) = watch::channel(false);
     for caller in 0..settings.callers {
@@ -86,7 +87,7 @@
     }
     drop(events_sender);
     tokio::spawn(async move {
-        tokio::time::sleep(settings.seconds).await;
+        tokio::time::sleep(settings.duration).await;
         // Callers that have ended already need no telling.
         let _ = stop_sender.send(true);
     });
@@ -101,7 +102,7 @@
     Ok(if bad { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
-fn caller_settings(settings: &CallersProcess) -> CallerSettings {
+fn caller_settings(settings: &CallersProcessSettings) -> CallerSettings {
     CallerSettings {
         service: settings.service.clone(),
         address: settings.address.into(),
--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -114,7 +114,7 @@
         let packet = match GenevePacket::parse(&buffer[HEADROOM_BYTES..end]) {
             Ok(packet) => packet,
             Err(error) => {
-                self.counters.packets.count_geneve(error);
+                self.counters.packets.count_geneve_error(error);
                 return Verdict::Done;
             }
         };
@@ -132,7 +132,7 @@
         let inner = match parse_inner(packet.inner) {
             Ok(inner) => inner,
             Err(error) => {
-                self.counters.packets.count_inner(error);
+                self.counters.packets.count_inner_error(error);
                 return Verdict::Done;
             }
         };
--- a/crates/carried/src/breaker.rs
+++ b/crates/carried/src/breaker.rs
@@ -88,7 +88,7 @@
     pub(crate) fn state(&self, now: Duration) -> BreakerState {
         let is_rested = now.saturating_sub(self.since) >= self.rest;
         match self.state {
-            BreakerState::Open if is_rested => CHART.next(self.state, BreakerEvent::Rested),
+            BreakerState::Open if is_rested => CHART.next_state(self.state, BreakerEvent::Rested),
             state => state,
         }
     }
@@ -108,7 +108,7 @@
         self.failing += NEW_SHARE * (f64::from(u8::from(failed)) - self.failing);
         self.wake(now);
         let Some(event) = self.event(failed) else { return false };
-        self.step(now, CHART.next(self.state, event));
+        self.step(now, CHART.next_state(self.state, event));
         self.state == BreakerState::Open
     }
 
--- a/crates/charts/src/chart.rs
+++ b/crates/charts/src/chart.rs
@@ -36,7 +36,7 @@
     }
 
     /// What `event` does in `state`.
-    pub fn step(&self, state: StateIndex, event: EventIndex) -> Step {
+    pub fn transition(&self, state: StateIndex, event: EventIndex) -> Step {
         self.steps[usize::from(state.0)][usize::from(event.0)]
     }
 
--- a/crates/charts/src/lib.rs
+++ b/crates/charts/src/lib.rs
@@ -10,4 +10,4 @@
 mod typed;
 
 pub use chart::{Chart, EventIndex, StateIndex, Step};
-pub use typed::{ChartNames, TypedChart, TypedStep};
+pub use typed::{ChartNames, TypedChart, TypedTransition};
--- a/crates/charts/src/typed.rs
+++ b/crates/charts/src/typed.rs
@@ -18,7 +18,7 @@
 
 /// A typed step's outcome.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum TypedStep<S> {
+pub enum TypedTransition<S> {
     /// The state changes.
     To(S),
     /// Nothing changes.
@@ -32,7 +32,7 @@
 pub struct TypedChart<S, E> {
     initial: S,
     /// Row per state and column per event, in the order of the enums' names.
-    steps: Vec<Vec<TypedStep<S>>>,
+    steps: Vec<Vec<TypedTransition<S>>>,
     events: PhantomData<E>,
 }
 
@@ -60,15 +60,15 @@
     }
 
     /// What `event` does in `state`.
-    pub fn step(&self, state: S, event: E) -> TypedStep<S> {
+    pub fn transition(&self, state: S, event: E) -> TypedTransition<S> {
         self.steps[place(state)][place(event)]
     }
 
     /// The state after `event`, the same one when the event changes nothing or is refused.
-    pub fn next(&self, state: S, event: E) -> S {
-        match self.step(state, event) {
-            TypedStep::To(target) => target,
-            TypedStep::Stay | TypedStep::Refuse => state,
+    pub fn next_state(&self, state: S, event: E) -> S {
+        match self.transition(state, event) {
+            TypedTransition::To(target) => target,
+            TypedTransition::Stay | TypedTransition::Refuse => state,
         }
     }
 }
@@ -90,12 +90,12 @@
     N::NAMES.iter().map(|(_, name)| *name).collect::<Vec<_>>().join(", ")
 }
 
-fn typed<S: ChartNames>(chart: &Chart, state: StateIndex, event: &str) -> TypedStep<S> {
+fn typed<S: ChartNames>(chart: &Chart, state: StateIndex, event: &str) -> TypedTransition<S> {
     let event = EventIndex(position(chart.events(), event));
-    match chart.step(state, event) {
-        Step::To(target) => TypedStep::To(value(chart, target)),
-        Step::Stay => TypedStep::Stay,
-        Step::Refuse => TypedStep::Refuse,
+    match chart.transition(state, event) {
+        Step::To(target) => TypedTransition::To(value(chart, target)),
+        Step::Stay => TypedTransition::Stay,
+        Step::Refuse => TypedTransition::Refuse,
     }
 }
 
--- a/crates/charts/tests/loading.rs
+++ b/crates/charts/tests/loading.rs
@@ -1,6 +1,6 @@
 //! Broken charts are refused with the place of each fault; good ones are interpreted.
 
-use loftdrift_charts::{Chart, ChartNames, TypedChart, TypedStep};
+use loftdrift_charts::{Chart, ChartNames, TypedChart, TypedTransition};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Door {
@@ -30,10 +30,10 @@
 fn a_good_chart_is_interpreted() {
     let chart: TypedChart<Door, Push> = TypedChart::parse("door", GOOD).expect("a chart");
     assert_eq!(chart.initial(), Door::Shut);
-    assert_eq!(chart.step(Door::Shut, Push::In), TypedStep::To(Door::Open));
-    assert_eq!(chart.step(Door::Shut, Push::Out), TypedStep::Refuse);
-    assert_eq!(chart.step(Door::Open, Push::In), TypedStep::Stay);
-    assert_eq!(chart.next(Door::Open, Push::Out), Door::Shut);
+    assert_eq!(chart.transition(Door::Shut, Push::In), TypedTransition::To(Door::Open));
+    assert_eq!(chart.transition(Door::Shut, Push::Out), TypedTransition::Refuse);
+    assert_eq!(chart.transition(Door::Open, Push::In), TypedTransition::Stay);
+    assert_eq!(chart.next_state(Door::Open, Push::Out), Door::Shut);
 }
 
 #[test]
--- a/crates/configuration/src/edit.rs
+++ b/crates/configuration/src/edit.rs
@@ -3,7 +3,7 @@
 use crate::language::{Statement, StatementKind};
 use crate::lifecycle::{BackendEvent, BackendState, backend_chart};
 use crate::model::{Backend, Configuration, Service, Site, SiteShift, Version};
-use loftdrift_charts::{ChartNames, TypedStep};
+use loftdrift_charts::{ChartNames, TypedTransition};
 use loftdrift_wire::MAX_VNI;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -188,13 +188,13 @@
     let unknown = || EditError::UnknownBackend(name.to_owned());
     let service = service.ok_or_else(unknown)?;
     let backend = service.backends.get_mut(name).ok_or_else(unknown)?;
-    match chart.step(backend.state, event) {
-        TypedStep::To(BackendState::Detached) => {
+    match chart.transition(backend.state, event) {
+        TypedTransition::To(BackendState::Detached) => {
             service.backends.remove(name);
         }
-        TypedStep::To(state) => backend.state = state,
-        TypedStep::Stay => return Ok(()),
-        TypedStep::Refuse => {
+        TypedTransition::To(state) => backend.state = state,
+        TypedTransition::Stay => return Ok(()),
+        TypedTransition::Refuse => {
             let state = backend.state.name();
             let event = event.name();
             return Err(EditError::NotAllowed { name: name.to_owned(), state, event });
--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -91,7 +91,7 @@
         percent: u8,
         /// How long the shift takes, in seconds.
         seconds: u64,
-        /// When it starts, in seconds since the Unix epoch; see [`stamp`].
+        /// When it starts, in seconds since the Unix epoch; see [`set_start_times`].
         starts: u64,
     },
     /// `show`
@@ -112,7 +112,7 @@
 /// Gives statements that start now their time, in seconds since the Unix epoch.
 ///
 /// Parsing knows no clock; whoever carries a script out calls this first.
-pub fn stamp(statements: &mut [Statement], unix_seconds: u64) {
+pub fn set_start_times(statements: &mut [Statement], unix_seconds: u64) {
     for statement in statements {
         if let StatementKind::Shift { starts, .. } = &mut statement.kind {
             *starts = unix_seconds;
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -17,7 +17,7 @@
     DocumentError, Documents, HEAD_KEY, Head, KEY_PREFIX, outcome_key, service_key,
 };
 pub use edit::{EditError, apply};
-pub use language::{Query, Statement, StatementKind, parse_script, stamp};
+pub use language::{Query, Statement, StatementKind, parse_script, set_start_times};
 pub use lifecycle::{
     BackendEvent, BackendState, ProcessEvent, ProcessState, agent_chart, backend_chart,
     balancer_chart,
--- a/crates/configuration/src/lifecycle.rs
+++ b/crates/configuration/src/lifecycle.rs
@@ -29,7 +29,7 @@
 
 impl BackendState {
     /// Whether the back end may open new flows.
-    pub fn takes_new_flows(self) -> bool {
+    pub fn accepts_new_flows(self) -> bool {
         matches!(self, BackendState::Joining | BackendState::Active)
     }
 }
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -141,7 +141,7 @@
         let members: Vec<Member> = self
             .backends
             .values()
-            .filter(|backend| backend.state.takes_new_flows())
+            .filter(|backend| backend.state.accepts_new_flows())
             .map(|backend| Member { backend: backend.id, agent: backend.agent, site: backend.site })
             .collect();
         if self.generations.first().is_some_and(|newest| newest.members == members) {
--- a/crates/configuration/tests/edits.rs
+++ b/crates/configuration/tests/edits.rs
@@ -1,6 +1,6 @@
 //! What statements do to a configuration.
 
-use loftdrift_configuration::{Configuration, EditError, apply, parse_script, stamp};
+use loftdrift_configuration::{Configuration, EditError, apply, parse_script, set_start_times};
 use std::time::Duration;
 
 fn edit(configuration: &Configuration, script: &str) -> Configuration {
@@ -68,7 +68,7 @@
 #[test]
 fn a_misspelt_statement_is_shown_with_its_place_and_what_was_expected() {
     let findings = parse_script("test", "show services\ndrain bakend a").expect_err("a finding");
-    assert_eq!((findings.list[0].place.line, findings.list[0].place.column), (2, 7));
+    assert_eq!((findings.list[0].position.line, findings.list[0].position.column), (2, 7));
     assert_eq!(findings.list[0].expected, "backend");
 }
 
@@ -76,7 +76,7 @@
 fn a_shift_moves_the_share_over_time_and_the_next_one_begins_where_it_is() {
     let run = |configuration: &Configuration, script: &str, unix_seconds: u64| {
         let mut statements = parse_script("test", script).expect("a script");
-        stamp(&mut statements, unix_seconds);
+        set_start_times(&mut statements, unix_seconds);
         apply(configuration, &statements).expect("a change that fits")
     };
     let share = |configuration: &Configuration, unix_seconds: u64| {
@@ -97,5 +97,5 @@
     let script = "shift tiles to site right 101%\nshift tiles to site left 5% over 721h";
     let findings = parse_script("test", script).expect_err("findings");
     assert_eq!(findings.list.len(), 2, "{findings}");
-    assert_eq!((findings.list[1].place.line, findings.list[1].place.column), (2, 34));
+    assert_eq!((findings.list[1].position.line, findings.list[1].position.column), (2, 34));
 }
--- a/crates/counters/src/lib.rs
+++ b/crates/counters/src/lib.rs
@@ -159,7 +159,7 @@
 }
 
 /// The values that are not zero, as `name=value`, for the periodic counters line.
-pub fn summary(samples: &[Sample]) -> String {
+pub fn format_nonzero(samples: &[Sample]) -> String {
     let parts: Vec<String> = samples
         .iter()
         .filter(|sample| sample.value != 0)
--- a/crates/counters/src/packet_drops.rs
+++ b/crates/counters/src/packet_drops.rs
@@ -30,7 +30,7 @@
 
 impl PacketDrops {
     /// Counts a datagram that is no GENEVE packet.
-    pub fn count_geneve(&mut self, error: GeneveError) {
+    pub fn count_geneve_error(&mut self, error: GeneveError) {
         match error {
             GeneveError::Truncated => self.dropped_truncated += 1,
             GeneveError::UnknownVersion => self.dropped_geneve_version += 1,
@@ -41,7 +41,7 @@
     }
 
     /// Counts an inner packet that is none of ours.
-    pub fn count_inner(&mut self, error: InnerError) {
+    pub fn count_inner_error(&mut self, error: InnerError) {
         match error {
             InnerError::Malformed => self.dropped_inner_malformed += 1,
             InnerError::Checksum => self.dropped_inner_checksum += 1,
--- a/crates/findings/src/lib.rs
+++ b/crates/findings/src/lib.rs
@@ -8,14 +8,14 @@
 
 /// A place in a text, both counted from 1; the column counts characters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Place {
+pub struct Position {
     /// The line.
     pub line: usize,
     /// The column.
     pub column: usize,
 }
 
-impl Place {
+impl Position {
     /// The place of a byte offset in `text`; offsets behind the end mean the end.
     pub fn of_offset(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
@@ -24,7 +24,7 @@
         }
         let before = &text[..end];
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
-        Place {
+        Position {
             line: before.matches('\n').count() + 1,
             column: before[line_start..].chars().count() + 1,
         }
@@ -35,7 +35,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
     /// Where.
-    pub place: Place,
+    pub position: Position,
     /// What is wrong there.
     pub problem: String,
     /// What would be right there.
@@ -58,7 +58,7 @@
             if index > 0 {
                 writeln!(formatter)?;
             }
-            let Place { line, column } = finding.place;
+            let Position { line, column } = finding.position;
             let Finding { problem, expected, .. } = finding;
             write!(formatter, "{}:{line}:{column}: {problem}; expected {expected}", self.file)?;
         }
@@ -83,7 +83,7 @@
     /// Records a finding at a byte offset.
     pub fn add(&mut self, offset: usize, problem: impl Into<String>, expected: impl Into<String>) {
         self.list.push(Finding {
-            place: Place::of_offset(self.text, offset),
+            position: Position::of_offset(self.text, offset),
             problem: problem.into(),
             expected: expected.into(),
         });
@@ -94,7 +94,7 @@
         if self.list.is_empty() {
             return Ok(value);
         }
-        self.list.sort_by_key(|finding| finding.place);
+        self.list.sort_by_key(|finding| finding.position);
         Err(Findings { file: self.file.to_owned(), list: self.list })
     }
 }
--- a/crates/flow/src/splice.rs
+++ b/crates/flow/src/splice.rs
@@ -166,7 +166,7 @@
     }
 
     fn step(&mut self, event: FlowEvent) {
-        self.state = self.chart.next(self.state, event);
+        self.state = self.chart.next_state(self.state, event);
     }
 
     fn pass_handshake(&mut self) {
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -9,7 +9,7 @@
 use crate::scenario::{Action, Scenario};
 use crate::world::{World, WorldSettings};
 use anyhow::{Context, Result, anyhow};
-use loftdrift_configuration::{BackendState, Configuration, apply, parse_script, stamp};
+use loftdrift_configuration::{BackendState, Configuration, apply, parse_script, set_start_times};
 use loftdrift_flow::FlowId;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -251,7 +251,7 @@
 
     fn accept(&mut self, now: Duration, script: &str) -> Result<()> {
         let mut statements = parse_script("scenario", script)?;
-        stamp(&mut statements, now.as_secs());
+        set_start_times(&mut statements, now.as_secs());
         let edited = apply(&self.configuration, &statements);
         let edited = edited.map_err(|errors| {
             let list: Vec<String> = errors.iter().map(|(_, error)| error.to_string()).collect();
@@ -296,7 +296,7 @@
     fn taking(&self, service: usize) -> Vec<u32> {
         let name = &self.scenario.services[service].name;
         let Some(service) = self.configuration.services.get(name) else { return Vec::new() };
-        let taking = service.backends.iter().filter(|(_, one)| one.state.takes_new_flows());
+        let taking = service.backends.iter().filter(|(_, one)| one.state.accepts_new_flows());
         let numbers = taking.filter_map(|(name, _)| self.agents.get(name).copied());
         numbers.filter(|number| !self.dead.contains(number)).collect()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,6 +8,7 @@
 
 pub use reader::{Overrides, Reader};
 pub use roles::{
-    AgentProcess, BackendProcess, BalancerProcess, CallersProcess, FabricListener, FabricProcess,
-    ListenerTransport, PlatformProcess, Role, Settings,
+    AgentProcessSettings, BackendProcessSettings, BalancerProcessSettings, CallersProcessSettings,
+    FabricListener, FabricProcessSettings, ListenerTransport, PlatformProcessSettings, Role,
+    Settings,
 };
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -54,7 +54,7 @@
 
 /// Settings of a balancer process.
 #[derive(Clone, Debug)]
-pub struct BalancerProcess {
+pub struct BalancerProcessSettings {
     /// UDP address for GENEVE.
     pub listen: SocketAddrV4,
     /// Key-value store.
@@ -64,14 +64,14 @@
     /// Zone that it stands in.
     pub zone: Option<String>,
     /// How long it forwards after it has stopped answering the fabric.
-    pub drain: Duration,
+    pub drain_duration: Duration,
     /// Most probes to agents in one second.
     pub probes_per_second: u32,
 }
 
 /// Settings of an agent process.
 #[derive(Clone, Debug)]
-pub struct AgentProcess {
+pub struct AgentProcessSettings {
     /// UDP address for GENEVE.
     pub listen: SocketAddrV4,
     /// Name of the back end beside it.
@@ -85,7 +85,7 @@
     /// Zone that it stands in.
     pub zone: Option<String>,
     /// Longest wait for its flows to end after a request to stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// Size of each of a flow's two buffers, in bytes.
     pub flow_buffer_bytes: usize,
     /// Whether flows carry cookies in TCP timestamps.
@@ -120,7 +120,7 @@
 
 /// Settings of the fabric stand-in.
 #[derive(Clone, Debug)]
-pub struct FabricProcess {
+pub struct FabricProcessSettings {
     /// UDP address for GENEVE.
     pub listen: SocketAddrV4,
     /// Balancers known from the start.
@@ -137,7 +137,7 @@
 
 /// Settings of the platform stand-in.
 #[derive(Clone, Debug)]
-pub struct PlatformProcess {
+pub struct PlatformProcessSettings {
     /// HTTP address.
     pub listen: SocketAddrV4,
     /// Most requests a second, 0 for no limit.
@@ -148,7 +148,7 @@
 
 /// Settings of a back end stand-in.
 #[derive(Clone, Debug)]
-pub struct BackendProcess {
+pub struct BackendProcessSettings {
     /// HTTP address.
     pub listen: SocketAddrV4,
     /// The service's name.
@@ -158,9 +158,9 @@
     /// Requests at a time.
     pub slots: usize,
     /// Requests that may wait.
-    pub queue: u64,
+    pub max_queued: u64,
     /// Time a request takes.
-    pub work: Duration,
+    pub work_duration: Duration,
     /// Time from the start during which work takes longer.
     pub cold_start: Duration,
     /// Lag of the load page.
@@ -169,7 +169,7 @@
 
 /// Settings of the callers stand-in.
 #[derive(Clone, Debug)]
-pub struct CallersProcess {
+pub struct CallersProcessSettings {
     /// The service's name, which answers must bear.
     pub service: String,
     /// Where the fabric listens for the service.
@@ -177,7 +177,7 @@
     /// How many callers there are.
     pub callers: u64,
     /// How long they call.
-    pub seconds: Duration,
+    pub duration: Duration,
     /// Share of requests that submit.
     pub submit_share: f64,
     /// Largest fetched body, in bytes.
@@ -194,17 +194,17 @@
 #[derive(Clone, Debug)]
 pub enum Settings {
     /// Of a balancer.
-    Balancer(BalancerProcess),
+    Balancer(BalancerProcessSettings),
     /// Of an agent.
-    Agent(AgentProcess),
+    Agent(AgentProcessSettings),
     /// Of the fabric stand-in.
-    Fabric(FabricProcess),
+    Fabric(FabricProcessSettings),
     /// Of the platform stand-in.
-    Platform(PlatformProcess),
+    Platform(PlatformProcessSettings),
     /// Of a back end stand-in.
-    Backend(BackendProcess),
+    Backend(BackendProcessSettings),
     /// Of the callers stand-in.
-    Callers(CallersProcess),
+    Callers(CallersProcessSettings),
 }
 
 impl Settings {
@@ -284,45 +284,45 @@
 
 // Each reader below asks for every setting before the first `?`, so that all findings are made.
 
-fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerProcess> {
+fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerProcessSettings> {
     let listen = reader.listener("listen");
     let metrics = reader.optional_listener("metrics");
     let platform = reader.address("platform");
     let zone = reader.zone();
-    let drain = reader.seconds("drain_seconds", DEFAULT_BALANCER_DRAIN_SECONDS);
+    let drain_duration = reader.seconds("drain_seconds", DEFAULT_BALANCER_DRAIN_SECONDS);
     let probes_per_second = reader.count("probes_per_second", 1, 40);
-    Some(BalancerProcess {
+    Some(BalancerProcessSettings {
         listen: listen?,
         platform: platform?,
         metrics,
         zone,
-        drain: drain?,
+        drain_duration: drain_duration?,
         probes_per_second: u32::try_from(probes_per_second?).unwrap_or(u32::MAX),
     })
 }
 
-fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentProcess> {
+fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentProcessSettings> {
     let listen = reader.listener("listen");
     let metrics = reader.optional_listener("metrics");
     let backend = reader.text("backend");
     let fabric = reader.address("fabric");
     let platform = reader.address("platform");
     let zone = reader.zone();
-    let drain = reader.seconds("drain_seconds", DEFAULT_AGENT_DRAIN_SECONDS);
+    let drain_timeout = reader.seconds("drain_seconds", DEFAULT_AGENT_DRAIN_SECONDS);
     let buffer =
         reader.count("flow_buffer_bytes", LEAST_FLOW_BUFFER_BYTES, DEFAULT_FLOW_BUFFER_BYTES);
     let cookies = reader.switch("cookies", true);
     let unknown_grace = reader.seconds("unknown_grace_seconds", DEFAULT_UNKNOWN_GRACE_SECONDS);
     let udp_idle = reader.seconds("udp_idle_seconds", DEFAULT_UDP_IDLE_SECONDS);
     let ramp = reader.seconds("ramp_seconds", DEFAULT_RAMP_SECONDS);
-    Some(AgentProcess {
+    Some(AgentProcessSettings {
         listen: listen?,
         backend: backend?,
         fabric: fabric?,
         platform: platform?,
         metrics,
         zone,
-        drain: drain?,
+        drain_timeout: drain_timeout?,
         flow_buffer_bytes: buffer? as usize,
         cookies: cookies?,
         unknown_grace: unknown_grace?,
@@ -331,7 +331,7 @@
     })
 }
 
-fn read_fabric(reader: &mut Reader<'_, '_>) -> Option<FabricProcess> {
+fn read_fabric(reader: &mut Reader<'_, '_>) -> Option<FabricProcessSettings> {
     let listen = reader.listener("listen");
     let balancers = reader.addresses("balancers");
     let platform = reader.optional_address("platform");
@@ -349,7 +349,7 @@
             listeners.push(listener);
         }
     }
-    Some(FabricProcess {
+    Some(FabricProcessSettings {
         listen: listen?,
         balancers,
         platform,
@@ -373,53 +373,53 @@
     Some(FabricListener { listen: listen?, service: service?, transport: transport? })
 }
 
-fn read_platform(reader: &mut Reader<'_, '_>) -> Option<PlatformProcess> {
+fn read_platform(reader: &mut Reader<'_, '_>) -> Option<PlatformProcessSettings> {
     let listen = reader.listener("listen");
     let requests_per_second = reader.count("requests_per_second", 0, 0);
     let machine_lag = reader.seconds("machine_lag_seconds", 1.0);
-    Some(PlatformProcess {
+    Some(PlatformProcessSettings {
         listen: listen?,
         requests_per_second: requests_per_second?,
         machine_lag: machine_lag?,
     })
 }
 
-fn read_backend(reader: &mut Reader<'_, '_>) -> Option<BackendProcess> {
+fn read_backend(reader: &mut Reader<'_, '_>) -> Option<BackendProcessSettings> {
     let listen = reader.listener("listen");
     let service = reader.text("service");
     let name = reader.text("name");
     let slots = reader.count("slots", 1, 7);
-    let queue = reader.count("queue", 0, 64);
-    let work = reader.seconds("work_seconds", 0.005);
+    let max_queued = reader.count("queue", 0, 64);
+    let work_duration = reader.seconds("work_seconds", 0.005);
     let cold_start = reader.seconds("cold_start_seconds", 0.0);
     let load_lag = reader.seconds("load_lag_seconds", 1.0);
-    Some(BackendProcess {
+    Some(BackendProcessSettings {
         listen: listen?,
         service: service?,
         name: name?,
         slots: slots? as usize,
-        queue: queue?,
-        work: work?,
+        max_queued: max_queued?,
+        work_duration: work_duration?,
         cold_start: cold_start?,
         load_lag: load_lag?,
     })
 }
 
-fn read_callers(reader: &mut Reader<'_, '_>) -> Option<CallersProcess> {
+fn read_callers(reader: &mut Reader<'_, '_>) -> Option<CallersProcessSettings> {
     let service = reader.text("service");
     let address = reader.address("address");
     let callers = reader.count("callers", 1, 8);
-    let seconds = reader.seconds("seconds", 10.0);
+    let duration = reader.seconds("seconds", 10.0);
     let submit_share = reader.number("submit_share", 0.0, 1.0, 0.2);
     let body_bytes = reader.count("body_bytes", 1, 50_000);
     let pause = reader.seconds("pause_seconds", 0.02);
     let requests_per_flow = reader.count("requests_per_flow", 1, 200);
     let seed = reader.count("seed", 0, 0);
-    Some(CallersProcess {
+    Some(CallersProcessSettings {
         service: service?,
         address: address?,
         callers: callers?,
-        seconds: seconds?,
+        duration: duration?,
         submit_share: submit_share?,
         body_bytes: body_bytes?,
         pause: pause?,
--- a/crates/settings/tests/findings.rs
+++ b/crates/settings/tests/findings.rs
@@ -6,7 +6,7 @@
     let findings = Settings::read("test.toml", text, None, &Overrides::default());
     let list = findings.expect_err("findings").list;
     let row = |finding: loftdrift_findings::Finding| {
-        (finding.place.line, finding.place.column, finding.problem, finding.expected)
+        (finding.position.line, finding.position.column, finding.problem, finding.expected)
     };
     list.into_iter().map(row).collect()
 }
@@ -88,7 +88,7 @@
     let settings = Settings::read("t", text, None, &overrides).expect("settings");
     let Settings::Balancer(balancer) = settings else { panic!("{settings:?}") };
     assert_eq!(balancer.listen.port(), 6000);
-    assert_eq!(balancer.drain.as_millis(), 500);
+    assert_eq!(balancer.drain_duration.as_millis(), 500);
     overrides.set("listen", "nowhere".to_owned());
     overrides.set("colour", "red".to_owned());
     let shown = Settings::read("t", text, None, &overrides).expect_err("findings").to_string();
--- a/crates/steering/tests/shares.rs
+++ b/crates/steering/tests/shares.rs
@@ -1,6 +1,6 @@
 //! New flows go to the site that their share says; flows that exist are found on either.
 
-use loftdrift_configuration::{Configuration, apply, parse_script, stamp};
+use loftdrift_configuration::{Configuration, apply, parse_script, set_start_times};
 use loftdrift_steering::SteeringMap;
 use loftdrift_wire::{BackendId, FlowKey, Transport};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -23,7 +23,7 @@
     }
     script.push_str("shift tiles to site right 100% over 100s");
     let mut statements = parse_script("test", &script).expect("a script");
-    stamp(&mut statements, 1_000);
+    set_start_times(&mut statements, 1_000);
     SteeringMap::new(&apply(&Configuration::default(), &statements).expect("a change that fits"))
 }
 
