--- a/crates/charts/src/chart.rs
+++ b/crates/charts/src/chart.rs
@@ -10,7 +10,7 @@
 
 /// What an event does in a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Step {
+pub enum Transition {
     /// The state changes.
     To(StateIndex),
     /// Nothing changes.
@@ -26,7 +26,7 @@
     pub(crate) states: Vec<String>,
     pub(crate) events: Vec<String>,
     /// Row per state, column per event.
-    pub(crate) steps: Vec<Vec<Step>>,
+    pub(crate) transitions: Vec<Vec<Transition>>,
 }
 
 impl Chart {
@@ -36,8 +36,8 @@
     }
 
     /// What `event` does in `state`.
-    pub fn transition(&self, state: StateIndex, event: EventIndex) -> Step {
-        self.steps[usize::from(state.0)][usize::from(event.0)]
+    pub fn transition(&self, state: StateIndex, event: EventIndex) -> Transition {
+        self.transitions[usize::from(state.0)][usize::from(event.0)]
     }
 
     /// The names of the states in the file's order.
--- a/crates/charts/src/lib.rs
+++ b/crates/charts/src/lib.rs
@@ -9,5 +9,5 @@
 mod load;
 mod typed;
 
-pub use chart::{Chart, EventIndex, StateIndex, Step};
+pub use chart::{Chart, EventIndex, StateIndex, Transition};
 pub use typed::{ChartNames, TypedChart, TypedTransition};
--- a/crates/charts/src/typed.rs
+++ b/crates/charts/src/typed.rs
@@ -1,6 +1,6 @@
 //! Ties a chart to the code's enums, so that a step takes and gives typed values.
 
-use crate::chart::{Chart, EventIndex, StateIndex, Step};
+use crate::chart::{Chart, EventIndex, StateIndex, Transition};
 use loftdrift_findings::{Collector, Findings};
 use std::marker::PhantomData;
 
@@ -32,8 +32,8 @@
 pub struct TypedChart<S, E> {
     initial: S,
     /// Row per state and column per event, in the order of the enums' names.
-    steps: Vec<Vec<TypedTransition<S>>>,
-    events: PhantomData<E>,
+    transitions: Vec<Vec<TypedTransition<S>>>,
+    event_type: PhantomData<E>,
 }
 
 impl<S: ChartNames, E: ChartNames> TypedChart<S, E> {
@@ -41,17 +41,21 @@
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let chart = Chart::parse(file, text)?;
         let mut findings = Collector::new(file, text);
-        compare::<S>(&mut findings, "state", chart.states());
-        compare::<E>(&mut findings, "event", chart.events());
+        check_names::<S>(&mut findings, "state", chart.states());
+        check_names::<E>(&mut findings, "event", chart.events());
         findings.finish(())?;
-        let steps = S::NAMES
+        let transitions = S::NAMES
             .iter()
             .map(|(_, state)| {
-                let state = StateIndex(position(chart.states(), state));
-                E::NAMES.iter().map(|(_, event)| typed(&chart, state, event)).collect()
+                let state = StateIndex(index_of(chart.states(), state));
+                E::NAMES.iter().map(|(_, event)| typed_transition(&chart, state, event)).collect()
             })
             .collect();
-        Ok(TypedChart { initial: value(&chart, chart.initial()), steps, events: PhantomData })
+        Ok(TypedChart {
+            initial: state_value(&chart, chart.initial()),
+            transitions,
+            event_type: PhantomData,
+        })
     }
 
     /// The state in which life begins.
@@ -61,7 +65,7 @@
 
     /// What `event` does in `state`.
     pub fn transition(&self, state: S, event: E) -> TypedTransition<S> {
-        self.steps[place(state)][place(event)]
+        self.transitions[index_in_enum(state)][index_in_enum(event)]
     }
 
     /// The state after `event`, the same one when the event changes nothing or is refused.
@@ -73,7 +77,7 @@
     }
 }
 
-fn compare<N: ChartNames>(findings: &mut Collector<'_>, kind: &str, names: &[String]) {
+fn check_names<N: ChartNames>(findings: &mut Collector<'_>, kind: &str, names: &[String]) {
     for name in names {
         if !N::NAMES.iter().any(|(_, known)| known == name) {
             findings.add(0, format!("the program has no {kind} `{name}`"), known_names::<N>());
@@ -90,25 +94,29 @@
     N::NAMES.iter().map(|(_, name)| *name).collect::<Vec<_>>().join(", ")
 }
 
-fn typed<S: ChartNames>(chart: &Chart, state: StateIndex, event: &str) -> TypedTransition<S> {
-    let event = EventIndex(position(chart.events(), event));
+fn typed_transition<S: ChartNames>(
+    chart: &Chart,
+    state: StateIndex,
+    event: &str,
+) -> TypedTransition<S> {
+    let event = EventIndex(index_of(chart.events(), event));
     match chart.transition(state, event) {
-        Step::To(target) => TypedTransition::To(value(chart, target)),
-        Step::Stay => TypedTransition::Stay,
-        Step::Refuse => TypedTransition::Refuse,
+        Transition::To(target) => TypedTransition::To(state_value(chart, target)),
+        Transition::Stay => TypedTransition::Stay,
+        Transition::Refuse => TypedTransition::Refuse,
     }
 }
 
-fn value<S: ChartNames>(chart: &Chart, state: StateIndex) -> S {
+fn state_value<S: ChartNames>(chart: &Chart, state: StateIndex) -> S {
     let name = &chart.states()[usize::from(state.0)];
     let found = S::NAMES.iter().find(|(_, known)| known == name);
     found.map_or(S::NAMES[0].0, |(value, _)| *value)
 }
 
-fn position(names: &[String], name: &str) -> u8 {
+fn index_of(names: &[String], name: &str) -> u8 {
     names.iter().position(|known| known == name).unwrap_or_default() as u8
 }
 
-fn place<N: ChartNames>(value: N) -> usize {
+fn index_in_enum<N: ChartNames>(value: N) -> usize {
     N::NAMES.iter().position(|(known, _)| *known == value).unwrap_or_default()
 }
--- a/crates/configuration/src/commit.rs
+++ b/crates/configuration/src/commit.rs
@@ -59,12 +59,12 @@
     command: String,
     statements: Vec<Statement>,
     /// The first reading: what the operator's command was written against.
-    seen: Option<Configuration>,
+    first_read: Option<Configuration>,
     phase: Phase,
     attempts: u32,
     /// A transaction was sent whose answer never came, so its effect is open until read.
     write_in_doubt: bool,
-    attempted: Option<Version>,
+    attempted_version: Option<Version>,
 }
 
 impl Commit {
@@ -73,38 +73,38 @@
         Commit {
             command,
             statements,
-            seen: None,
+            first_read: None,
             phase: Phase::Reading,
             attempts: 0,
             write_in_doubt: false,
-            attempted: None,
+            attempted_version: None,
         }
     }
 
     /// The first request.
     pub fn start(&mut self) -> CommitAction {
-        self.read()
+        self.send_read()
     }
 
     /// Takes the reply to the request sent last.
     pub fn step(&mut self, reply: StoreReply) -> CommitAction {
         match (self.phase, reply) {
             (Phase::Reading, StoreReply::Keys { keys, .. }) => match Documents::read(&keys) {
-                Ok(documents) => self.write(&documents),
+                Ok(documents) => self.send_write(&documents),
                 Err(error) => CommitAction::Done(CommitOutcome::Unreadable(error.to_string())),
             },
-            (Phase::Writing, StoreReply::Transacted { succeeded: true }) => {
-                CommitAction::Done(CommitOutcome::Accepted(self.attempted.unwrap_or_default()))
-            }
+            (Phase::Writing, StoreReply::Transacted { succeeded: true }) => CommitAction::Done(
+                CommitOutcome::Accepted(self.attempted_version.unwrap_or_default()),
+            ),
             (Phase::Writing, StoreReply::Lost) => {
                 self.write_in_doubt = true;
-                self.read()
+                self.send_read()
             }
-            _ => self.read(),
+            _ => self.send_read(),
         }
     }
 
-    fn read(&mut self) -> CommitAction {
+    fn send_read(&mut self) -> CommitAction {
         if self.attempts == MAX_COMMIT_ATTEMPTS {
             let outcome = if self.write_in_doubt {
                 CommitOutcome::Unknown
@@ -118,21 +118,21 @@
         CommitAction::Send(StoreRequest::ReadPrefix { prefix: KEY_PREFIX.to_owned() })
     }
 
-    fn write(&mut self, documents: &Documents) -> CommitAction {
+    fn send_write(&mut self, documents: &Documents) -> CommitAction {
         if let Some(version) = documents.outcome(&self.command) {
             return CommitAction::Done(CommitOutcome::Accepted(version));
         }
         let current = documents.configuration();
         if let Some(outcome) = self.conflict(&current) {
-            return self.end_unapplied(outcome);
+            return self.finish_unapplied(outcome);
         }
         let edited = match apply(&current, &self.statements) {
             Ok(edited) => edited,
-            Err(errors) => return self.end_unapplied(CommitOutcome::Refused(errors)),
+            Err(errors) => return self.finish_unapplied(CommitOutcome::Refused(errors)),
         };
-        self.seen.get_or_insert_with(|| current.clone());
+        self.first_read.get_or_insert_with(|| current.clone());
         self.phase = Phase::Writing;
-        self.attempted = Some(edited.version);
+        self.attempted_version = Some(edited.version);
         CommitAction::Send(StoreRequest::Transaction {
             conditions: vec![
                 StoreCondition::ModRevision {
@@ -147,15 +147,15 @@
 
     /// Ends as not applied. A try in doubt compared an older head than the one just read, on which
     /// another change stands, so it cannot take effect any more.
-    fn end_unapplied(&self, outcome: CommitOutcome) -> CommitAction {
+    fn finish_unapplied(&self, outcome: CommitOutcome) -> CommitAction {
         CommitAction::Done(outcome)
     }
 
     /// A service that the script touches and that changed since the operator's command began.
     fn conflict(&self, current: &Configuration) -> Option<CommitOutcome> {
-        let seen = self.seen.as_ref()?;
-        for name in self.touched(current) {
-            let before = seen.services.get(&name);
+        let first_read = self.first_read.as_ref()?;
+        for name in self.touched_services(current) {
+            let before = first_read.services.get(&name);
             let now = current.services.get(&name);
             if before != now {
                 let changed = now.map_or(current.version, |service| service.changed);
@@ -165,7 +165,7 @@
         None
     }
 
-    fn touched(&self, current: &Configuration) -> Vec<String> {
+    fn touched_services(&self, current: &Configuration) -> Vec<String> {
         let service_of = |backend: &str| {
             let mut services = current.services.iter();
             let found = services.find(|(_, service)| service.backends.contains_key(backend));
--- a/crates/configuration/src/edit.rs
+++ b/crates/configuration/src/edit.rs
@@ -20,7 +20,7 @@
     UnknownService(String),
     /// Another service has that address.
     #[error("service `{0}` has that address already")]
-    AddressTaken(String),
+    AddressInUse(String),
     /// The service still has back ends.
     #[error("service `{0}` still has back ends; detach them first")]
     ServiceInUse(String),
@@ -32,7 +32,7 @@
     UnknownBackend(String),
     /// Another back end has that agent.
     #[error("back end `{0}` has that agent already")]
-    AgentTaken(String),
+    AgentInUse(String),
     /// The back end's state does not allow it.
     #[error("back end `{name}` is {state}, which does not allow {event}")]
     NotAllowed {
@@ -45,20 +45,20 @@
     },
     /// Identities are used up.
     #[error("no identity is left for another {0}")]
-    IdentitiesUsedUp(&'static str),
+    IdsExhausted(&'static str),
     /// The program's own chart is broken.
     #[error("{0}")]
     Chart(#[from] loftdrift_findings::Findings),
 }
 
 /// A refused statement: where it stands and why it is refused.
-pub type PlacedEditError = (usize, EditError);
+pub type LocatedEditError = (usize, EditError);
 
 /// The configuration after `statements`, one revision on; queries change nothing.
 pub fn apply(
     configuration: &Configuration,
     statements: &[Statement],
-) -> Result<Configuration, Vec<PlacedEditError>> {
+) -> Result<Configuration, Vec<LocatedEditError>> {
     let mut edited = configuration.clone();
     edited.version.revision += 1;
     let mut errors = Vec::new();
@@ -94,16 +94,16 @@
     if configuration.services.contains_key(name) {
         return Err(EditError::ServiceExists(name.clone()));
     }
-    let holder = configuration
+    let name_in_use = configuration
         .services
         .iter()
         .find(|(_, service)| service.address == *address && service.transport == *transport);
-    if let Some((holder, _)) = holder {
-        return Err(EditError::AddressTaken(holder.clone()));
+    if let Some((name_in_use, _)) = name_in_use {
+        return Err(EditError::AddressInUse(name_in_use.clone()));
     }
     let id = configuration.next_service + 1;
     if id > MAX_VNI {
-        return Err(EditError::IdentitiesUsedUp("service"));
+        return Err(EditError::IdsExhausted("service"));
     }
     configuration.next_service = id;
     let service = Service {
@@ -152,12 +152,12 @@
         return Err(EditError::BackendExists(name.clone()));
     }
     let mut backends = configuration.services.values().flat_map(|service| &service.backends);
-    if let Some((holder, _)) = backends.find(|(_, backend)| backend.agent == *agent) {
-        return Err(EditError::AgentTaken(holder.clone()));
+    if let Some((name_in_use, _)) = backends.find(|(_, backend)| backend.agent == *agent) {
+        return Err(EditError::AgentInUse(name_in_use.clone()));
     }
     let version = configuration.version;
     let id = configuration.next_backend.checked_add(1);
-    let id = id.ok_or(EditError::IdentitiesUsedUp("back end"))?;
+    let id = id.ok_or(EditError::IdsExhausted("back end"))?;
     let target = configuration.services.get_mut(service);
     let target = target.ok_or_else(|| EditError::UnknownService(service.clone()))?;
     configuration.next_backend = id;
@@ -207,8 +207,10 @@
 /// A new shift begins at the share that the one before it has reached.
 fn shift(configuration: &mut Configuration, statement: &StatementKind) -> Result<(), EditError> {
     const PERMILLE_PER_PERCENT: u16 = 10;
-    const WHOLE: u16 = 1_000;
-    let StatementKind::Shift { service, site, percent, seconds, starts } = statement else {
+    const WHOLE_PERMILLE: u16 = 1_000;
+    let StatementKind::Shift { service, site, percent, duration_seconds, start_seconds } =
+        statement
+    else {
         return Ok(());
     };
     let version = configuration.version;
@@ -217,17 +219,21 @@
     let share = u16::from(*percent) * PERMILLE_PER_PERCENT;
     let to_permille = match site {
         Site::Right => share,
-        Site::Left => WHOLE - share,
+        Site::Left => WHOLE_PERMILLE - share,
     };
-    let now = Duration::from_secs(*starts);
+    let now = Duration::from_secs(*start_seconds);
     let from_permille = target.shift.map_or(0, |shift| shift.right_permille(now));
-    target.shift =
-        Some(SiteShift { from_permille, to_permille, starts: *starts, seconds: *seconds });
+    target.shift = Some(SiteShift {
+        from_permille,
+        to_permille,
+        start_seconds: *start_seconds,
+        duration_seconds: *duration_seconds,
+    });
     mark_changed(target, version);
     Ok(())
 }
 
 fn mark_changed(service: &mut Service, version: Version) {
     service.changed = version;
-    service.renew_generation(version.revision);
+    service.record_generation(version.revision);
 }
--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -22,8 +22,8 @@
 const DEFAULT_ZONE: &str = "local";
 /// `docs/design/0001-steering.md` gives imbalance and hops for other lengths.
 const DEFAULT_CANDIDATES: u8 = 4;
-const MOST_CANDIDATES: u32 = 6;
-const LONGEST_SHIFT_SECONDS: u64 = 30 * 24 * 3_600;
+const MAX_CANDIDATES: u32 = 6;
+const MAX_SHIFT_SECONDS: u64 = 30 * 24 * 3_600;
 
 /// A statement with its place in the script.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
         site: Site,
         /// Requests at a time.
         slots: u32,
-        /// Flows at most.
+        /// Flows at max.
         connections: u32,
         /// Joining or active.
         state: BackendState,
@@ -90,9 +90,9 @@
         /// Its share of new flows at the end, in percent.
         percent: u8,
         /// How long the shift takes, in seconds.
-        seconds: u64,
+        duration_seconds: u64,
         /// When it starts, in seconds since the Unix epoch; see [`set_start_times`].
-        starts: u64,
+        start_seconds: u64,
     },
     /// `show`
     Show(Query),
@@ -114,8 +114,8 @@
 /// Parsing knows no clock; whoever carries a script out calls this first.
 pub fn set_start_times(statements: &mut [Statement], unix_seconds: u64) {
     for statement in statements {
-        if let StatementKind::Shift { starts, .. } = &mut statement.kind {
-            *starts = unix_seconds;
+        if let StatementKind::Shift { start_seconds, .. } = &mut statement.kind {
+            *start_seconds = unix_seconds;
         }
     }
 }
@@ -129,7 +129,8 @@
             let script = pairs.flatten().filter(|pair| pair.as_rule() == Rule::statement);
             for pair in script {
                 let offset = pair.as_span().start();
-                let kind = pair.into_inner().next().and_then(|inner| read(&mut findings, inner));
+                let kind =
+                    pair.into_inner().next().and_then(|inner| read_statement(&mut findings, inner));
                 statements.extend(kind.map(|kind| Statement { offset, kind }));
             }
         }
@@ -138,7 +139,7 @@
                 InputLocation::Pos(offset) | InputLocation::Span((offset, _)) => offset,
             };
             let expected = match &error.variant {
-                ErrorVariant::ParsingError { positives, .. } => describe(positives),
+                ErrorVariant::ParsingError { positives, .. } => describe_rules(positives),
                 ErrorVariant::CustomError { message } => message.clone(),
             };
             let rest = text[offset..].lines().next().unwrap_or_default();
@@ -150,8 +151,8 @@
 }
 
 /// The grammar's rules in the operators' words.
-fn describe(rules: &[Rule]) -> String {
-    let mut words: Vec<&str> = rules.iter().map(|rule| rule_words(*rule)).collect();
+fn describe_rules(rules: &[Rule]) -> String {
+    let mut words: Vec<&str> = rules.iter().map(|rule| describe_rule(*rule)).collect();
     words.sort_unstable();
     words.dedup();
     if words.is_empty() {
@@ -160,7 +161,7 @@
     words.join(", ")
 }
 
-fn rule_words(rule: Rule) -> &'static str {
+fn describe_rule(rule: Rule) -> &'static str {
     match rule {
         Rule::script | Rule::statement => {
             "a statement (create, delete, attach, activate, drain, detach, shift or show)"
@@ -204,9 +205,9 @@
     }
 }
 
-fn read(findings: &mut Collector<'_>, pair: Pair<'_, Rule>) -> Option<StatementKind> {
+fn read_statement(findings: &mut Collector<'_>, pair: Pair<'_, Rule>) -> Option<StatementKind> {
     let rule = pair.as_rule();
-    let mut parts = pair.into_inner().filter(|part| !is_plain_word(part.as_rule()));
+    let mut parts = pair.into_inner().filter(|part| !is_keyword(part.as_rule()));
     match rule {
         Rule::create_service => {
             let name = parts.next()?.as_str().to_owned();
@@ -220,7 +221,7 @@
                         transport = ServiceTransport::Udp;
                     }
                     Rule::candidates_option => {
-                        candidates = read_number(findings, value, MOST_CANDIDATES)? as u8;
+                        candidates = read_number(findings, value, MAX_CANDIDATES)? as u8;
                     }
                     _ => {}
                 }
@@ -266,19 +267,25 @@
                 state,
             })
         }
-        Rule::activate => change(parts.next()?, BackendEvent::Activate),
-        Rule::drain => change(parts.next()?, BackendEvent::Drain),
-        Rule::detach => change(parts.next()?, BackendEvent::Detach),
+        Rule::activate => change_backend(parts.next()?, BackendEvent::Activate),
+        Rule::drain => change_backend(parts.next()?, BackendEvent::Drain),
+        Rule::detach => change_backend(parts.next()?, BackendEvent::Detach),
         Rule::shift => {
             let service = parts.next()?.as_str().to_owned();
             let site = if parts.next()?.as_str() == "right" { Site::Right } else { Site::Left };
             let percent = read_percent(findings, parts.next()?)?;
             let over = parts.next().and_then(|option| option.into_inner().next());
-            let seconds = match over {
+            let duration_seconds = match over {
                 Some(duration) => read_duration(findings, duration)?,
                 None => 0,
             };
-            Some(StatementKind::Shift { service, site, percent, seconds, starts: 0 })
+            Some(StatementKind::Shift {
+                service,
+                site,
+                percent,
+                duration_seconds,
+                start_seconds: 0,
+            })
         }
         Rule::show => match parts.next()?.as_rule() {
             Rule::show_services => Some(StatementKind::Show(Query::Services)),
@@ -290,7 +297,7 @@
 }
 
 /// Whether a rule is a word between names, which carries nothing to read.
-fn is_plain_word(rule: Rule) -> bool {
+fn is_keyword(rule: Rule) -> bool {
     matches!(
         rule,
         Rule::word_service
@@ -302,7 +309,7 @@
     )
 }
 
-fn change(name: Pair<'_, Rule>, event: BackendEvent) -> Option<StatementKind> {
+fn change_backend(name: Pair<'_, Rule>, event: BackendEvent) -> Option<StatementKind> {
     Some(StatementKind::ChangeBackend { name: name.as_str().to_owned(), event })
 }
 
@@ -324,12 +331,12 @@
     }
 }
 
-fn read_number(findings: &mut Collector<'_>, pair: Pair<'_, Rule>, most: u32) -> Option<u32> {
+fn read_number(findings: &mut Collector<'_>, pair: Pair<'_, Rule>, max: u32) -> Option<u32> {
     match pair.as_str().parse::<u32>() {
-        Ok(number) if (1..=most).contains(&number) => Some(number),
+        Ok(number) if (1..=max).contains(&number) => Some(number),
         _ => {
             let problem = format!("`{}` is out of range", pair.as_str());
-            findings.add(pair.as_span().start(), problem, format!("a number from 1 to {most}"));
+            findings.add(pair.as_span().start(), problem, format!("a number from 1 to {max}"));
             None
         }
     }
@@ -355,7 +362,7 @@
         _ => 1,
     };
     let seconds = digits.parse::<u64>().ok().and_then(|number| number.checked_mul(factor));
-    let seconds = seconds.filter(|seconds| *seconds <= LONGEST_SHIFT_SECONDS);
+    let seconds = seconds.filter(|seconds| *seconds <= MAX_SHIFT_SECONDS);
     if seconds.is_none() {
         let problem = format!("`{text}` is out of range");
         findings.add(pair.as_span().start(), problem, "a duration of at most 720h");
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -109,22 +109,24 @@
     /// Its share at the end, in thousandths.
     pub to_permille: u16,
     /// When it starts, in seconds since the Unix epoch.
-    pub starts: u64,
+    #[serde(rename = "starts")]
+    pub start_seconds: u64,
     /// How long it takes, in seconds.
-    pub seconds: u64,
+    #[serde(rename = "seconds")]
+    pub duration_seconds: u64,
 }
 
 impl SiteShift {
     /// The right site's share at a time since the Unix epoch, in thousandths.
     pub fn right_permille(&self, now: Duration) -> u16 {
-        let elapsed = now.saturating_sub(Duration::from_secs(self.starts));
-        let whole = Duration::from_secs(self.seconds);
-        if elapsed >= whole {
+        let elapsed = now.saturating_sub(Duration::from_secs(self.start_seconds));
+        let duration = Duration::from_secs(self.duration_seconds);
+        if elapsed >= duration {
             return self.to_permille;
         }
-        let part = elapsed.as_secs_f64() / whole.as_secs_f64();
+        let progress = elapsed.as_secs_f64() / duration.as_secs_f64();
         let from = f64::from(self.from_permille);
-        (from + (f64::from(self.to_permille) - from) * part).round() as u16
+        (from + (f64::from(self.to_permille) - from) * progress).round() as u16
     }
 }
 
@@ -136,7 +138,7 @@
 
     /// Records a new generation when the set of back ends that take new flows has changed. All
     /// statements of one script make one generation, so that scripts do not use up the history.
-    pub fn renew_generation(&mut self, epoch: u64) {
+    pub fn record_generation(&mut self, epoch: u64) {
         self.generations.retain(|generation| generation.epoch != epoch);
         let members: Vec<Member> = self
             .backends
--- a/crates/configuration/tests/edits.rs
+++ b/crates/configuration/tests/edits.rs
@@ -58,10 +58,10 @@
                   attach backend c to tiles at 127.0.0.1:9003 agent 127.0.0.1:6001";
     let found = refusals(&two_backends(), script);
     assert!(matches!(&found[0], EditError::ServiceExists(name) if name == "tiles"));
-    assert!(matches!(&found[1], EditError::AddressTaken(name) if name == "tiles"));
+    assert!(matches!(&found[1], EditError::AddressInUse(name) if name == "tiles"));
     assert!(matches!(&found[2], EditError::UnknownBackend(name) if name == "nobody"));
     assert!(matches!(&found[3], EditError::NotAllowed { state: "active", .. }));
-    assert!(matches!(&found[4], EditError::AgentTaken(name) if name == "a"));
+    assert!(matches!(&found[4], EditError::AgentInUse(name) if name == "a"));
     assert_eq!(found.len(), 5);
 }
 
--- a/crates/counters/src/histogram.rs
+++ b/crates/counters/src/histogram.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 /// Upper bound of the first bucket of times, in seconds.
-const FIRST_SECONDS: f64 = 0.000_5;
+const FIRST_BUCKET_SECONDS: f64 = 0.000_5;
 /// Each bucket of times is so many times as wide as the one before.
-const SECONDS_FACTOR: f64 = 2.0;
+const BUCKET_FACTOR: f64 = 2.0;
 /// Buckets of times: up to 8 s.
-const SECONDS_BUCKETS: u16 = 15;
+const TIME_BUCKETS: u16 = 15;
 /// Buckets of counts: each number up to this has its own.
 const COUNT_BUCKETS: u16 = 12;
 
@@ -25,7 +25,7 @@
 impl Histogram {
     /// A histogram of times, in seconds.
     pub fn seconds(name: &'static str, help: &'static str) -> Self {
-        let bounds = exponential_buckets(FIRST_SECONDS, SECONDS_FACTOR, SECONDS_BUCKETS);
+        let bounds = exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, TIME_BUCKETS);
         Histogram { name, help, buckets: Buckets::new(bounds) }
     }
 
@@ -36,8 +36,8 @@
     }
 
     /// Takes a time.
-    pub fn observe(&self, took: Duration) {
-        self.buckets.observe(took.as_secs_f64());
+    pub fn observe(&self, duration: Duration) {
+        self.buckets.observe(duration.as_secs_f64());
     }
 
     /// Takes a number.
--- a/crates/counters/src/lib.rs
+++ b/crates/counters/src/lib.rs
@@ -17,7 +17,7 @@
 
 /// Whether a value only rises or may fall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum SampleKind {
     /// Only rises; shown with the suffix `_total`.
     Counter,
     /// The value of now.
@@ -32,7 +32,7 @@
     /// One line of help.
     pub help: &'static str,
     /// Counter or gauge.
-    pub kind: Kind,
+    pub kind: SampleKind,
     /// The value.
     pub value: u64,
 }
@@ -72,13 +72,13 @@
                     $($crate::Sample {
                         name: stringify!($field),
                         help: $doc.trim_ascii(),
-                        kind: $crate::Kind::Counter,
+                        kind: $crate::SampleKind::Counter,
                         value: self.$field,
                     },)*
                     $($($crate::Sample {
                         name: stringify!($gauge),
                         help: $gauge_doc.trim_ascii(),
-                        kind: $crate::Kind::Gauge,
+                        kind: $crate::SampleKind::Gauge,
                         value: self.$gauge,
                     },)*)?
                 ];
@@ -104,7 +104,7 @@
 #[derive(Debug)]
 struct SetCollector {
     set: PublishedSet,
-    kind: Kind,
+    kind: SampleKind,
 }
 
 impl Collector for SetCollector {
@@ -114,13 +114,13 @@
             let name = format!("loftdrift_{role}_{}", sample.name);
             let help = sample.help.trim_end_matches('.');
             match sample.kind {
-                Kind::Counter => {
+                SampleKind::Counter => {
                     let metric = ConstCounter::new(sample.value);
                     let target =
                         encoder.encode_descriptor(&name, help, None, metric.metric_type())?;
                     metric.encode(target)?;
                 }
-                Kind::Gauge => {
+                SampleKind::Gauge => {
                     let metric = ConstGauge::new(sample.value as i64);
                     let target =
                         encoder.encode_descriptor(&name, help, None, metric.metric_type())?;
@@ -136,7 +136,7 @@
 /// keeps only the beginning of a page keeps what tells most.
 pub fn render(sets: &[PublishedSet]) -> String {
     let mut scalars = Registry::default();
-    for kind in [Kind::Gauge, Kind::Counter] {
+    for kind in [SampleKind::Gauge, SampleKind::Counter] {
         for set in sets {
             let collector = SetCollector { set: set.clone(), kind };
             scalars.register_collector(Box::new(collector));
--- a/crates/counters/tests/render.rs
+++ b/crates/counters/tests/render.rs
@@ -1,13 +1,13 @@
 //! Counters and histograms on the page of metrics.
 
-use loftdrift_counters::{Histogram, Kind, PublishedSet, Sample, render};
+use loftdrift_counters::{Histogram, PublishedSet, Sample, SampleKind, render};
 use std::time::Duration;
 
 #[test]
 fn histograms_stand_beside_counters_under_their_roles_name() {
     let answer = Histogram::seconds("answer_seconds", "Time of an answer.");
     let offers = Histogram::counts("offers", "Offers.");
-    let sample = Sample { name: "asked", help: "Asked.", kind: Kind::Counter, value: 7 };
+    let sample = Sample { name: "asked", help: "Asked.", kind: SampleKind::Counter, value: 7 };
     let set = PublishedSet {
         role: "agent",
         samples: vec![sample],
@@ -37,7 +37,7 @@
     let sample = |name, kind| Sample { name, help: "Some.", kind, value: 3 };
     let set = |role| PublishedSet {
         role,
-        samples: vec![sample("asked", Kind::Counter), sample("version", Kind::Gauge)],
+        samples: vec![sample("asked", SampleKind::Counter), sample("version", SampleKind::Gauge)],
         histograms: vec![Histogram::counts("offers", "Offers.")],
     };
     let page = render(&[set("agent"), set("store")]);
--- a/crates/findings/src/lib.rs
+++ b/crates/findings/src/lib.rs
@@ -17,7 +17,7 @@
 
 impl Position {
     /// The place of a byte offset in `text`; offsets behind the end mean the end.
-    pub fn of_offset(text: &str, offset: usize) -> Self {
+    pub fn from_offset(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
         while !text.is_char_boundary(end) {
             end -= 1;
@@ -83,7 +83,7 @@
     /// Records a finding at a byte offset.
     pub fn add(&mut self, offset: usize, problem: impl Into<String>, expected: impl Into<String>) {
         self.list.push(Finding {
-            position: Position::of_offset(self.text, offset),
+            position: Position::from_offset(self.text, offset),
             problem: problem.into(),
             expected: expected.into(),
         });
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -52,8 +52,8 @@
 
 impl LogGuard {
     /// Gives the writer a bounded time for the lines that are still in the queue.
-    pub fn finish(self, patience: Duration) {
-        self.queue.drain(patience);
+    pub fn finish(self, timeout: Duration) {
+        self.queue.drain(timeout);
     }
 }
 
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-const SECONDS_A_DAY: u64 = 86_400;
+const SECONDS_PER_DAY: u64 = 86_400;
 
 /// The line of a record, its end of line included. `unix` is the time since the Unix epoch.
 pub fn format_line(
@@ -55,8 +55,8 @@
 
 /// A time since the Unix epoch as RFC 3339 in UTC, to the millisecond.
 fn format_time(unix: Duration) -> String {
-    let days = unix.as_secs() / SECONDS_A_DAY;
-    let second = unix.as_secs() % SECONDS_A_DAY;
+    let days = unix.as_secs() / SECONDS_PER_DAY;
+    let second = unix.as_secs() % SECONDS_PER_DAY;
     let (year, month, day) = civil_date(days as i64);
     let (hour, minute, second) = (second / 3_600, second / 60 % 60, second % 60);
     let millisecond = unix.subsec_millis();
--- a/crates/logging/src/queue.rs
+++ b/crates/logging/src/queue.rs
@@ -10,18 +10,18 @@
 /// Stack of the writing thread, in bytes.
 const STACK_BYTES: usize = 64 * 1024;
 /// How often [`LineQueue::drain`] looks.
-const DRAIN_STEP: Duration = Duration::from_millis(5);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Sizes of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueSettings {
     /// Most lines that wait to be written.
-    pub most_lines: usize,
+    pub max_lines: usize,
 }
 
 impl Default for QueueSettings {
     fn default() -> Self {
-        QueueSettings { most_lines: 512 }
+        QueueSettings { max_lines: 512 }
     }
 }
 
@@ -42,9 +42,9 @@
 impl LineQueue {
     /// Starts the writing thread. Where none can be had, every line is dropped and counted.
     pub fn start(settings: QueueSettings, output: impl Write + Send + 'static) -> Self {
-        let (lines, queue) = sync_channel(settings.most_lines);
+        let (lines, queue) = sync_channel(settings.max_lines);
         let counts = Arc::new(Counts::default());
-        let writer = Writer { output, counts: counts.clone(), told: 0 };
+        let writer = Writer { output, counts: counts.clone(), reported: 0 };
         let builder = thread::Builder::new().name("log".to_owned()).stack_size(STACK_BYTES);
         // Without the thread the queue's other end is gone, which counts as full.
         let _ = builder.spawn(move || writer.run(queue));
@@ -74,15 +74,15 @@
         self.counts.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines are written, or for `patience`.
-    pub fn drain(&self, patience: Duration) {
-        let until = Instant::now() + patience;
-        while self.is_behind() && Instant::now() < until {
-            thread::sleep(DRAIN_STEP);
+    /// Waits until all lines are written, or for `timeout`.
+    pub fn drain(&self, timeout: Duration) {
+        let deadline = Instant::now() + timeout;
+        while self.has_unwritten() && Instant::now() < deadline {
+            thread::sleep(DRAIN_POLL_INTERVAL);
         }
     }
 
-    fn is_behind(&self) -> bool {
+    fn has_unwritten(&self) -> bool {
         let written = self.counts.written.load(Ordering::Relaxed);
         written < self.counts.queued.load(Ordering::Relaxed)
     }
@@ -104,8 +104,8 @@
 struct Writer<W> {
     output: W,
     counts: Arc<Counts>,
-    /// Dropped lines that a line has told of.
-    told: u64,
+    /// Dropped lines that a line has reported of.
+    reported: u64,
 }
 
 impl<W: Write> Writer<W> {
@@ -113,7 +113,7 @@
         while let Ok(line) = queue.recv() {
             self.write(&line);
             self.counts.written.fetch_add(1, Ordering::Relaxed);
-            self.tell_dropped();
+            self.report_dropped();
         }
     }
 
@@ -125,12 +125,12 @@
         }
     }
 
-    fn tell_dropped(&mut self) {
+    fn report_dropped(&mut self) {
         let dropped = self.counts.dropped.load(Ordering::Relaxed);
-        if dropped > self.told {
+        if dropped > self.reported {
             let line =
-                format!("level=warn event=log_lines_dropped count={}\n", dropped - self.told);
-            self.told = dropped;
+                format!("level=warn event=log_lines_dropped count={}\n", dropped - self.reported);
+            self.reported = dropped;
             let _ = self.output.write_all(line.as_bytes());
         }
     }
--- a/crates/logging/src/rate.rs
+++ b/crates/logging/src/rate.rs
@@ -19,10 +19,10 @@
 }
 
 /// Most kinds that are told apart.
-const MOST_KINDS: usize = 256;
+const MAX_KINDS: usize = 256;
 
 #[derive(Debug, Default)]
-struct Kind {
+struct KindState {
     /// Lines written in the second that is under way.
     written: u32,
     second: u64,
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub struct RateLimits {
     rates: Rates,
-    kinds: HashMap<String, Kind>,
+    kinds: HashMap<String, KindState>,
 }
 
 impl RateLimits {
@@ -46,25 +46,25 @@
     /// were left out since the last one that was.
     pub fn admit(&mut self, now: Duration, kind: &str, is_failure: bool) -> Option<u64> {
         if !self.kinds.contains_key(kind) {
-            if self.kinds.len() >= MOST_KINDS {
+            if self.kinds.len() >= MAX_KINDS {
                 return None;
             }
-            self.kinds.insert(kind.to_owned(), Kind::default());
+            self.kinds.insert(kind.to_owned(), KindState::default());
         }
-        let most = match is_failure {
+        let limit = match is_failure {
             true => self.rates.failures_per_second,
             false => self.rates.ordinary_per_second,
         };
-        let known = self.kinds.get_mut(kind)?;
-        if known.second != now.as_secs() {
-            known.second = now.as_secs();
-            known.written = 0;
+        let state = self.kinds.get_mut(kind)?;
+        if state.second != now.as_secs() {
+            state.second = now.as_secs();
+            state.written = 0;
         }
-        if known.written >= most {
-            known.omitted += 1;
+        if state.written >= limit {
+            state.omitted += 1;
             return None;
         }
-        known.written += 1;
-        Some(std::mem::take(&mut known.omitted))
+        state.written += 1;
+        Some(std::mem::take(&mut state.omitted))
     }
 }
--- a/crates/logging/src/trace.rs
+++ b/crates/logging/src/trace.rs
@@ -20,7 +20,7 @@
 ];
 /// Causes are shown from so many milliseconds before the flow's first line to as many after its
 /// last one.
-const MARGIN_MS: i64 = 3_000;
+const CAUSE_MARGIN_MS: i64 = 3_000;
 
 /// The lines of all `logs` that belong to `id`, a flow's name or a request's, in order of the time
 /// of day, with the lines that tell of causes around them.
@@ -34,19 +34,19 @@
         }
     }
     let names_flow = |line: &Line<'_>| line.value("flow").is_some_and(|flow| flows.contains(&flow));
-    let own: Vec<Line<'a>> = lines.iter().copied().filter(names_flow).collect();
-    let times: Vec<i64> = own.iter().filter_map(Line::milliseconds_of_day).collect();
+    let flow_lines: Vec<Line<'a>> = lines.iter().copied().filter(names_flow).collect();
+    let times: Vec<i64> = flow_lines.iter().filter_map(Line::milliseconds_of_day).collect();
     let (Some(first), Some(last)) = (times.iter().min(), times.iter().max()) else {
         return Vec::new();
     };
     let is_cause = |line: &Line<'_>| {
         let is_near = line
             .milliseconds_of_day()
-            .is_some_and(|at| (first - MARGIN_MS..=last + MARGIN_MS).contains(&at));
+            .is_some_and(|at| (first - CAUSE_MARGIN_MS..=last + CAUSE_MARGIN_MS).contains(&at));
         is_near && line.value("event").is_some_and(|event| CAUSES.contains(&event))
     };
     let causes = lines.iter().copied().filter(|line| is_cause(line) && !names_flow(line));
-    let mut found: Vec<Line<'a>> = own.iter().copied().chain(causes).collect();
+    let mut found: Vec<Line<'a>> = flow_lines.iter().copied().chain(causes).collect();
     found.sort_by_key(|line| (line.value("time"), line.value("node")));
     found.iter().map(|line| line.text).collect()
 }
--- a/crates/logging/tests/queue.rs
+++ b/crates/logging/tests/queue.rs
@@ -32,7 +32,7 @@
 #[test]
 fn an_output_that_is_not_read_holds_nobody_up_and_drops_are_told() {
     let (output, permit, written) = gate();
-    let queue = LineQueue::start(QueueSettings { most_lines: 4 }, output);
+    let queue = LineQueue::start(QueueSettings { max_lines: 4 }, output);
     for _ in 0..100 {
         queue.push(b"line\n");
     }
@@ -43,8 +43,8 @@
         permit.send(()).unwrap();
     }
     assert_eq!(written.recv().unwrap(), b"line\n");
-    let told = String::from_utf8(written.recv().unwrap()).unwrap();
-    assert_eq!(told, format!("level=warn event=log_lines_dropped count={dropped}\n"));
+    let reported = String::from_utf8(written.recv().unwrap()).unwrap();
+    assert_eq!(reported, format!("level=warn event=log_lines_dropped count={dropped}\n"));
 }
 
 #[test]
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -24,14 +24,14 @@
     }
 }
 
-const ADDRESS: &str = "an address in quotes, \"IP:PORT\"";
-const LONGEST: f64 = 86_400.0;
+const EXPECTED_ADDRESS: &str = "an address in quotes, \"IP:PORT\"";
+const MAX_SECONDS: f64 = 86_400.0;
 
 /// A value as it was found, with its place.
 enum Found<'a> {
     Flag(&'a str),
     File(&'a Value),
-    Nothing,
+    Missing,
 }
 
 /// Reads one table: asks for each setting by name, collects findings, and at the end reports every
@@ -93,9 +93,9 @@
             Some(_) => {
                 let offset = self.key_offset(name);
                 self.finding(offset, format!("`{name}` is a table"), "a plain value");
-                Found::Nothing
+                Found::Missing
             }
-            None => Found::Nothing,
+            None => Found::Missing,
         }
     }
 
@@ -107,7 +107,7 @@
         value
     }
 
-    fn wrong(&mut self, name: &str, value: &Value, expected: &str) {
+    fn invalid_value(&mut self, name: &str, value: &Value, expected: &str) {
         let offset = value.span().map_or(0, |span| span.start);
         let found = value.type_name();
         let shown = value.to_string();
@@ -115,7 +115,7 @@
         self.finding(offset, format!("`{name}` is {shown}, of type {found}"), expected);
     }
 
-    fn wrong_flag(&mut self, name: &str, value: &str, expected: &str) {
+    fn invalid_flag(&mut self, name: &str, value: &str, expected: &str) {
         let flag = name.replace('_', "-");
         self.finding(0, format!("flag `--{flag} {value}` is not understood"), expected);
     }
@@ -127,11 +127,11 @@
             Found::File(value) => match value.as_str() {
                 Some(text) if !text.is_empty() => Some(text.to_owned()),
                 _ => {
-                    self.wrong(name, value, "a text in quotes that is not empty");
+                    self.invalid_value(name, value, "a text in quotes that is not empty");
                     None
                 }
             },
-            Found::Nothing => None,
+            Found::Missing => None,
         }
     }
 
@@ -147,44 +147,44 @@
             Found::Flag(text) => match text.parse() {
                 Ok(address) => Some(address),
                 Err(_) => {
-                    self.wrong_flag(name, text, "IP:PORT");
+                    self.invalid_flag(name, text, "IP:PORT");
                     None
                 }
             },
             Found::File(value) => {
                 let address = value.as_str().and_then(|text| text.parse().ok());
                 if address.is_none() {
-                    self.wrong(name, value, ADDRESS);
+                    self.invalid_value(name, value, EXPECTED_ADDRESS);
                 }
                 address
             }
-            Found::Nothing => None,
+            Found::Missing => None,
         }
     }
 
     /// An address.
     pub fn address(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let value = self.optional_address(name);
-        self.require(name, value, ADDRESS)
+        self.require(name, value, EXPECTED_ADDRESS)
     }
 
     /// An address to listen on, which no other setting may name, unless the kernel chooses the port.
     pub fn optional_listener(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let address = self.optional_address(name)?;
-        self.claim(name, address, self.key_offset(name));
+        self.add_listener(name, address, self.key_offset(name));
         Some(address)
     }
 
     /// An address to listen on.
     pub fn listener(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let value = self.optional_listener(name);
-        self.require(name, value, ADDRESS)
+        self.require(name, value, EXPECTED_ADDRESS)
     }
 
     /// Notes an address that this process listens on; a finding when another setting names it.
-    pub fn claim(&mut self, name: &'static str, address: SocketAddrV4, offset: usize) {
-        let taken = self.listeners.iter().find(|(listener, _)| *listener == address);
-        if let Some((_, other)) = taken.filter(|_| address.port() != 0) {
+    pub fn add_listener(&mut self, name: &'static str, address: SocketAddrV4, offset: usize) {
+        let conflicting = self.listeners.iter().find(|(listener, _)| *listener == address);
+        if let Some((_, other)) = conflicting.filter(|_| address.port() != 0) {
             let problem = format!("`{name}` listens on {address}, as `{other}` does");
             self.finding(offset, problem, "another address");
         }
@@ -192,59 +192,53 @@
     }
 
     /// A whole number of at least `least`.
-    pub fn count(&mut self, name: &'static str, least: u64, default: u64) -> Option<u64> {
-        let expected = format!("a whole number of at least {least}");
+    pub fn count(&mut self, name: &'static str, min: u64, default: u64) -> Option<u64> {
+        let expected = format!("a whole number of at least {min}");
         let number = match self.find(name) {
             Found::Flag(text) => match text.parse::<u64>() {
-                Ok(number) if number >= least => number,
+                Ok(number) if number >= min => number,
                 _ => {
-                    self.wrong_flag(name, text, &expected);
+                    self.invalid_flag(name, text, &expected);
                     return None;
                 }
             },
             Found::File(value) => match value.as_integer().and_then(|n| u64::try_from(n).ok()) {
-                Some(number) if number >= least => number,
+                Some(number) if number >= min => number,
                 _ => {
-                    self.wrong(name, value, &expected);
+                    self.invalid_value(name, value, &expected);
                     return None;
                 }
             },
-            Found::Nothing => default,
+            Found::Missing => default,
         };
         Some(number)
     }
 
     /// A number in a range.
-    pub fn number(
-        &mut self,
-        name: &'static str,
-        least: f64,
-        most: f64,
-        default: f64,
-    ) -> Option<f64> {
-        let expected = format!("a number from {least} to {most}");
+    pub fn number(&mut self, name: &'static str, min: f64, max: f64, default: f64) -> Option<f64> {
+        let expected = format!("a number from {min} to {max}");
         let number = match self.find(name) {
             Found::Flag(text) => match text.parse::<f64>() {
                 Ok(number) => number,
                 Err(_) => {
-                    self.wrong_flag(name, text, &expected);
+                    self.invalid_flag(name, text, &expected);
                     return None;
                 }
             },
             Found::File(value) => {
                 let number = value.as_float().or_else(|| value.as_integer().map(|n| n as f64));
                 match number {
-                    Some(number) if (least..=most).contains(&number) => return Some(number),
+                    Some(number) if (min..=max).contains(&number) => return Some(number),
                     _ => {
-                        self.wrong(name, value, &expected);
+                        self.invalid_value(name, value, &expected);
                         return None;
                     }
                 }
             }
-            Found::Nothing => default,
+            Found::Missing => default,
         };
-        if !(least..=most).contains(&number) {
-            self.wrong_flag(name, &number.to_string(), &expected);
+        if !(min..=max).contains(&number) {
+            self.invalid_flag(name, &number.to_string(), &expected);
             return None;
         }
         Some(number)
@@ -252,7 +246,7 @@
 
     /// A time in seconds, up to a day.
     pub fn seconds(&mut self, name: &'static str, default: f64) -> Option<Duration> {
-        self.number(name, 0.0, LONGEST, default).map(Duration::from_secs_f64)
+        self.number(name, 0.0, MAX_SECONDS, default).map(Duration::from_secs_f64)
     }
 
     /// `true` or `false`.
@@ -261,17 +255,17 @@
             Found::Flag(text) => match text.parse() {
                 Ok(value) => Some(value),
                 Err(_) => {
-                    self.wrong_flag(name, text, "true or false");
+                    self.invalid_flag(name, text, "true or false");
                     None
                 }
             },
             Found::File(value) => {
                 if value.as_bool().is_none() {
-                    self.wrong(name, value, "true or false");
+                    self.invalid_value(name, value, "true or false");
                 }
                 value.as_bool()
             }
-            Found::Nothing => Some(default),
+            Found::Missing => Some(default),
         }
     }
 
@@ -280,13 +274,13 @@
         let array = match self.find(name) {
             Found::File(Value::Array(array)) => array,
             Found::File(value) => {
-                self.wrong(name, value, "a list of texts in quotes");
+                self.invalid_value(name, value, "a list of texts in quotes");
                 return Vec::new();
             }
             Found::Flag(text) => {
                 return text.split(',').map(|part| (part.to_owned(), 0)).collect();
             }
-            Found::Nothing => return Vec::new(),
+            Found::Missing => return Vec::new(),
         };
         let mut texts = Vec::new();
         for value in array {
@@ -294,7 +288,7 @@
                 Some(text) => {
                     texts.push((text.to_owned(), value.span().map_or(0, |span| span.start)));
                 }
-                None => self.wrong(name, value, "a text in quotes"),
+                None => self.invalid_value(name, value, "a text in quotes"),
             }
         }
         texts
@@ -306,7 +300,7 @@
         for (text, offset) in self.texts(name) {
             match text.parse() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.finding(offset, format!("`{text}` is no address"), ADDRESS),
+                Err(_) => self.finding(offset, format!("`{text}` is no address"), EXPECTED_ADDRESS),
             }
         }
         addresses
@@ -357,7 +351,11 @@
     }
 
     /// A reader of a table inside this one, to which flags do not reach.
-    pub fn inner<'i>(&'i mut self, table: &'i Table, none: &'i Overrides) -> Reader<'a, 'i> {
-        Reader::new(self.findings, table, none)
+    pub fn inner<'i>(
+        &'i mut self,
+        table: &'i Table,
+        no_overrides: &'i Overrides,
+    ) -> Reader<'a, 'i> {
+        Reader::new(self.findings, table, no_overrides)
     }
 }
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -7,7 +7,7 @@
 use toml_edit::{ImDocument, Item, Table};
 
 const DEFAULT_FLOW_BUFFER_BYTES: u64 = 16 * 1024;
-const LEAST_FLOW_BUFFER_BYTES: u64 = 2_048;
+const MIN_FLOW_BUFFER_BYTES: u64 = 2_048;
 /// A configuration is in force everywhere within 18 s; the grace must be longer.
 const DEFAULT_UNKNOWN_GRACE_SECONDS: f64 = 20.0;
 const DEFAULT_UDP_IDLE_SECONDS: f64 = 30.0;
@@ -208,12 +208,12 @@
 }
 
 impl Settings {
-    /// Reads a settings file. `wanted` is the role that the command line asks for; without it the
+    /// Reads a settings file. `requested` is the role that the command line asks for; without it the
     /// file's own decides.
     pub fn read(
         file: &str,
         text: &str,
-        wanted: Option<Role>,
+        requested: Option<Role>,
         overrides: &Overrides,
     ) -> Result<Settings, Findings> {
         let mut findings = Collector::new(file, text);
@@ -222,43 +222,43 @@
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
                 findings.add(offset, error.message().trim().to_owned(), "a TOML document");
-                return findings.finish(None).map(unreachable_settings);
+                return findings.finish(None).map(expect_settings);
             }
         };
         let table = document.as_table();
-        let settings = read_role(&mut findings, table, wanted)
+        let settings = read_role(&mut findings, table, requested)
             .and_then(|role| read_settings(&mut findings, table, role, overrides));
-        findings.finish(settings).map(unreachable_settings)
+        findings.finish(settings).map(expect_settings)
     }
 }
 
 /// Settings are missing only when there are findings, and then this is not reached.
-fn unreachable_settings(settings: Option<Settings>) -> Settings {
+fn expect_settings(settings: Option<Settings>) -> Settings {
     settings.expect("a reader that returns nothing has recorded a finding")
 }
 
-fn read_role(findings: &mut Collector<'_>, table: &Table, wanted: Option<Role>) -> Option<Role> {
+fn read_role(findings: &mut Collector<'_>, table: &Table, requested: Option<Role>) -> Option<Role> {
     let names: Vec<&str> = Role::ALL.iter().map(|(_, name)| *name).collect();
     let Some(item) = table.get("role") else {
-        if wanted.is_none() {
+        if requested.is_none() {
             findings.add(0, "setting `role` is missing", names.join(", "));
         }
-        return wanted;
+        return requested;
     };
     let offset = item.span().map_or(0, |span| span.start);
     let role = item.as_str().and_then(Role::parse);
-    match (role, wanted) {
+    match (role, requested) {
         (None, _) => {
             let shown = item.as_str().unwrap_or("no text");
             findings.add(offset, format!("unknown role `{shown}`"), names.join(", "));
         }
-        (Some(role), Some(wanted)) if role != wanted => {
+        (Some(role), Some(requested)) if role != requested => {
             let problem = format!("these are settings of a {}", role.name());
-            findings.add(offset, problem, format!("role = \"{}\"", wanted.name()));
+            findings.add(offset, problem, format!("role = \"{}\"", requested.name()));
         }
         _ => {}
     }
-    wanted.or(role)
+    requested.or(role)
 }
 
 fn read_settings(
@@ -310,7 +310,7 @@
     let zone = reader.zone();
     let drain_timeout = reader.seconds("drain_seconds", DEFAULT_AGENT_DRAIN_SECONDS);
     let buffer =
-        reader.count("flow_buffer_bytes", LEAST_FLOW_BUFFER_BYTES, DEFAULT_FLOW_BUFFER_BYTES);
+        reader.count("flow_buffer_bytes", MIN_FLOW_BUFFER_BYTES, DEFAULT_FLOW_BUFFER_BYTES);
     let cookies = reader.switch("cookies", true);
     let unknown_grace = reader.seconds("unknown_grace_seconds", DEFAULT_UNKNOWN_GRACE_SECONDS);
     let udp_idle = reader.seconds("udp_idle_seconds", DEFAULT_UDP_IDLE_SECONDS);
@@ -337,15 +337,19 @@
     let platform = reader.optional_address("platform");
     let timestamps = reader.switch("timestamps", true);
     let seed = reader.count("seed", 0, 0);
-    let none = Overrides::default();
+    let no_overrides = Overrides::default();
     let mut listeners = Vec::new();
     for table in reader.tables("listeners") {
-        let mut inner = reader.inner(table, &none);
+        let mut inner = reader.inner(table, &no_overrides);
         let listener = read_fabric_listener(&mut inner);
         inner.finish();
         if let Some(listener) = listener {
             let span = table.get("listen").and_then(Item::span);
-            reader.claim("listeners.listen", listener.listen, span.map_or(0, |span| span.start));
+            reader.add_listener(
+                "listeners.listen",
+                listener.listen,
+                span.map_or(0, |span| span.start),
+            );
             listeners.push(listener);
         }
     }
