--- a/crates/configuration/src/commit.rs
+++ b/crates/configuration/src/commit.rs
@@ -1,10 +1,11 @@
-//! Carries one script into the key-value store at most once.
+//! Commits one script to the key-value store at most once.
 //!
-//! The protocol: read everything, apply the script, write the change together with the command's
-//! outcome in one transaction that compares the head's revision and the absence of the outcome.
-//! A lost answer is resolved by reading the outcome under the command's identity: when it is
-//! there, the script took effect; when it is not, trying again is safe, because a late first try
-//! and the new one exclude each other by the same comparison.
+//! The protocol reads all documents, applies the script, and writes the change together with the
+//! command's outcome in one transaction. The transaction succeeds only if the head document's
+//! revision is unchanged and no outcome exists yet under the command's id. When a reply is lost,
+//! the documents are read again: if the outcome exists, the script took effect; if not, a retry is
+//! safe, because a delayed first attempt and the retry both require that no outcome exists, so at
+//! most one of them succeeds.
 
 use crate::documents::{Documents, HEAD_KEY, KEY_PREFIX, outcome_key};
 use crate::edit::{EditError, apply};
@@ -12,63 +13,70 @@
 use crate::model::{Configuration, Version};
 use crate::store::{StoreCondition, StoreReply, StoreRequest};
 
-/// Requests that one command may spend before it gives up and says *unknown* or *refused*.
+/// How often a command reads the store before it gives up with [`CommitOutcome::Unknown`] or
+/// [`CommitOutcome::Unreachable`].
 pub const MAX_COMMIT_ATTEMPTS: u32 = 12;
 
-/// What the embedder does next.
+/// What the caller of [`Commit`] must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitAction {
-    /// Send this request and report its reply to [`Commit::step`].
+    /// Send this request and pass its reply to [`Commit::step`].
     Send(StoreRequest),
-    /// The command has ended.
+    /// The command has ended with this outcome.
     Done(CommitOutcome),
 }
 
 /// How a command ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CommitOutcome {
-    /// It took effect, once, at this version.
+    /// It took effect exactly once, at this version.
     Accepted(Version),
-    /// It did not and will not take effect: statements are wrong.
+    /// It did not and will not take effect: these statements, listed by byte offset in the
+    /// script, cannot be applied.
     Refused(Vec<(usize, EditError)>),
     /// It did not and will not take effect: another operator changed the same service.
     Conflict {
-        /// The service that both touch.
+        /// The service that both commands change.
         service: String,
         /// The version of the other change.
         changed: Version,
     },
-    /// The store's documents cannot be read; nothing was written.
+    /// A document in the store cannot be parsed; nothing was written.
     Unreadable(String),
-    /// It was never sent: the store could not be reached. It did not run.
+    /// It did not take effect: no transaction succeeded within [`MAX_COMMIT_ATTEMPTS`], usually
+    /// because the store could not be reached.
     Unreachable,
-    /// The answer was lost and could not be found out; ask again by the command's identity.
+    /// The reply was lost and the outcome could not be determined; query it later by the
+    /// command's id.
     Unknown,
 }
 
-/// Where the protocol stands.
+/// Which reply the protocol waits for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     Reading,
     Writing,
 }
 
-/// One command on its way into the store. Drive it with [`Commit::step`].
+/// The protocol state of one command. It does no I/O: the caller sends the requests and passes each
+/// reply to [`Commit::step`].
 #[derive(Debug)]
 pub struct Commit {
     command: String,
     statements: Vec<Statement>,
-    /// The first reading: what the operator's command was written against.
+    /// The configuration as first read. A later change to a service that the script changes too is
+    /// a conflict.
     first_read: Option<Configuration>,
     phase: Phase,
     attempts: u32,
-    /// A transaction was sent whose answer never came, so its effect is open until read.
+    /// The reply to a transaction was lost, so only a later read can tell whether it took effect.
     write_in_doubt: bool,
-    attempted_version: Option<Version>,
+    /// The version that the last transaction writes.
+    new_version: Option<Version>,
 }
 
 impl Commit {
-    /// A command with an identity that no other command has.
+    /// Creates a command. `command` is its id, which must be unique among all commands.
     pub fn new(command: String, statements: Vec<Statement>) -> Self {
         Commit {
             command,
@@ -77,25 +85,25 @@
             phase: Phase::Reading,
             attempts: 0,
             write_in_doubt: false,
-            attempted_version: None,
+            new_version: None,
         }
     }
 
-    /// The first request.
+    /// Returns the first request.
     pub fn start(&mut self) -> CommitAction {
         self.send_read()
     }
 
-    /// Takes the reply to the request sent last.
+    /// Handles the reply to the last request.
     pub fn step(&mut self, reply: StoreReply) -> CommitAction {
         match (self.phase, reply) {
             (Phase::Reading, StoreReply::Keys { keys, .. }) => match Documents::read(&keys) {
                 Ok(documents) => self.send_write(&documents),
                 Err(error) => CommitAction::Done(CommitOutcome::Unreadable(error.to_string())),
             },
-            (Phase::Writing, StoreReply::Transacted { succeeded: true }) => CommitAction::Done(
-                CommitOutcome::Accepted(self.attempted_version.unwrap_or_default()),
-            ),
+            (Phase::Writing, StoreReply::Transacted { succeeded: true }) => {
+                CommitAction::Done(CommitOutcome::Accepted(self.new_version.unwrap_or_default()))
+            }
             (Phase::Writing, StoreReply::Lost) => {
                 self.write_in_doubt = true;
                 self.send_read()
@@ -132,7 +140,7 @@
         };
         self.first_read.get_or_insert_with(|| current.clone());
         self.phase = Phase::Writing;
-        self.attempted_version = Some(edited.version);
+        self.new_version = Some(edited.version);
         CommitAction::Send(StoreRequest::Transaction {
             conditions: vec![
                 StoreCondition::ModRevision {
@@ -145,13 +153,14 @@
         })
     }
 
-    /// Ends as not applied. A try in doubt compared an older head than the one just read, on which
-    /// another change stands, so it cannot take effect any more.
+    /// Ends the command as not applied. A transaction whose reply was lost was conditional on an
+    /// older head than the one just read, which another change has overwritten since, so it can no
+    /// longer take effect.
     fn finish_unapplied(&self, outcome: CommitOutcome) -> CommitAction {
         CommitAction::Done(outcome)
     }
 
-    /// A service that the script touches and that changed since the operator's command began.
+    /// Returns a conflict if a service that the script changes was changed since the first read.
     fn conflict(&self, current: &Configuration) -> Option<CommitOutcome> {
         let first_read = self.first_read.as_ref()?;
         for name in self.touched_services(current) {
@@ -165,6 +174,7 @@
         None
     }
 
+    /// Names of the services that the script changes.
     fn touched_services(&self, current: &Configuration) -> Vec<String> {
         let service_of = |backend: &str| {
             let mut services = current.services.iter();
--- a/crates/configuration/src/documents.rs
+++ b/crates/configuration/src/documents.rs
@@ -1,8 +1,8 @@
-//! The configuration's layout in the key-value store.
+//! Layout of the configuration in the key-value store.
 //!
-//! One head document names the version; each service is a document of its own, so that a change
-//! writes and sends only what it touches. Every transaction writes the head, so that two of them
-//! never both take effect from the same reading.
+//! The head document holds the version. Each service is a separate document, so that a change
+//! writes and transmits only the services it affects. Every transaction writes the head and is
+//! conditional on its revision, so that two transactions based on the same read never both succeed.
 
 use crate::model::{Configuration, Service, Version};
 use crate::store::{KeyValue, StoreWrite};
@@ -10,19 +10,19 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Prefix of every key.
+/// Prefix of all keys of the configuration.
 pub const KEY_PREFIX: &str = "/loftdrift/";
 /// Key of the head document.
 pub const HEAD_KEY: &str = "/loftdrift/head";
 const SERVICE_PREFIX: &str = "/loftdrift/services/";
 const OUTCOME_PREFIX: &str = "/loftdrift/outcomes/";
 
-/// Key of a service's document.
+/// Key of the document of a service.
 pub fn service_key(name: &str) -> String {
     format!("{SERVICE_PREFIX}{name}")
 }
 
-/// Key under which a command's outcome is written with its effect.
+/// Key of a command's outcome, which is written in the same transaction as the command's changes.
 pub fn outcome_key(command: &str) -> String {
     format!("{OUTCOME_PREFIX}{command}")
 }
@@ -32,13 +32,15 @@
 pub struct Head {
     /// The configuration's version.
     pub version: Version,
-    /// The next service's identity.
-    pub next_service: u32,
-    /// The next back end's identity.
-    pub next_backend: u16,
+    /// The id assigned to a service last; the next service gets the one after it.
+    #[serde(rename = "next_service")]
+    pub last_service_id: u32,
+    /// The id assigned to a back end last; the next back end gets the one after it.
+    #[serde(rename = "next_backend")]
+    pub last_backend_id: u16,
 }
 
-/// Why a document cannot be read.
+/// A document in the store that cannot be parsed.
 #[derive(Debug, Error)]
 #[error("document `{key}` in the key-value store is malformed: {source}")]
 pub struct DocumentError {
@@ -46,7 +48,7 @@
     source: serde_json::Error,
 }
 
-/// The documents that were read last.
+/// The documents in the store, as last read and as updated by watch events since.
 #[derive(Clone, Debug, Default)]
 pub struct Documents {
     head: Head,
@@ -56,7 +58,7 @@
 }
 
 impl Documents {
-    /// Reads all of the keys below [`KEY_PREFIX`].
+    /// Parses the key-value pairs below [`KEY_PREFIX`].
     pub fn read(keys: &[KeyValue]) -> Result<Self, DocumentError> {
         let mut documents = Documents::default();
         for key in keys {
@@ -65,7 +67,7 @@
         Ok(documents)
     }
 
-    /// Takes in a key that was written; keys of other kinds are passed over.
+    /// Applies the write of a key. Keys that belong to no known kind of document are ignored.
     pub fn put(&mut self, written: &KeyValue) -> Result<(), DocumentError> {
         if written.key == HEAD_KEY {
             self.head = parse(written)?;
@@ -78,7 +80,7 @@
         Ok(())
     }
 
-    /// Takes in a key that was removed.
+    /// Applies the removal of a key.
     pub fn delete(&mut self, key: &str) {
         if let Some(name) = key.strip_prefix(SERVICE_PREFIX) {
             self.services.remove(name);
@@ -87,32 +89,32 @@
         }
     }
 
-    /// The store revision that last wrote the head; 0 when there is none.
+    /// The store revision that last wrote the head document; 0 if it does not exist.
     pub fn head_mod_revision(&self) -> u64 {
         self.head_mod_revision
     }
 
-    /// The version at which a command took effect, when it did.
+    /// The version at which a command took effect, if it did.
     pub fn outcome(&self, command: &str) -> Option<Version> {
         self.outcomes.get(command).copied()
     }
 
-    /// The configuration that the documents make up.
+    /// The configuration that the documents describe.
     pub fn configuration(&self) -> Configuration {
         Configuration {
             version: self.head.version,
-            next_service: self.head.next_service,
-            next_backend: self.head.next_backend,
+            last_service_id: self.head.last_service_id,
+            last_backend_id: self.head.last_backend_id,
             services: self.services.clone(),
         }
     }
 
-    /// The writes that turn `before` into `after` and record `command`'s outcome.
+    /// The writes that turn `before` into `after` and record the outcome of `command`.
     pub fn writes(before: &Configuration, after: &Configuration, command: &str) -> Vec<StoreWrite> {
         let head = Head {
             version: after.version,
-            next_service: after.next_service,
-            next_backend: after.next_backend,
+            last_service_id: after.last_service_id,
+            last_backend_id: after.last_backend_id,
         };
         let mut writes = vec![put(HEAD_KEY, &head), put(&outcome_key(command), &after.version)];
         for (name, service) in &after.services {
@@ -132,7 +134,7 @@
 }
 
 fn put<T: Serialize>(key: &str, document: &T) -> StoreWrite {
-    // The documents are plain data with string keys, which always serialize.
+    // Cannot fail: the documents are plain data, and their maps have string keys.
     let value = serde_json::to_string(document).unwrap_or_default();
     StoreWrite::Put { key: key.to_owned(), value }
 }
--- a/crates/configuration/src/edit.rs
+++ b/crates/configuration/src/edit.rs
@@ -1,4 +1,4 @@
-//! Applies statements to a configuration, whole or not at all.
+//! Applies statements to a configuration: either all of them or none.
 
 use crate::language::{Statement, StatementKind};
 use crate::lifecycle::{BackendEvent, BackendState, backend_chart};
@@ -9,52 +9,53 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a statement cannot be applied. Nothing of its script is.
+/// Why a statement cannot be applied. One such statement causes the whole script to be refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EditError {
-    /// The service exists.
-    #[error("service `{0}` exists already")]
+    /// A service of that name already exists.
+    #[error("service `{0}` already exists")]
     ServiceExists(String),
     /// There is no such service.
     #[error("there is no service `{0}`")]
     UnknownService(String),
-    /// Another service has that address.
-    #[error("service `{0}` has that address already")]
+    /// Another service, named here, has the same address and transport.
+    #[error("service `{0}` already uses that address")]
     AddressInUse(String),
     /// The service still has back ends.
     #[error("service `{0}` still has back ends; detach them first")]
     ServiceInUse(String),
-    /// The back end exists.
-    #[error("back end `{0}` exists already")]
+    /// A back end of that name already exists.
+    #[error("back end `{0}` already exists")]
     BackendExists(String),
     /// There is no such back end.
     #[error("there is no back end `{0}`")]
     UnknownBackend(String),
-    /// Another back end has that agent.
-    #[error("back end `{0}` has that agent already")]
+    /// Another back end, named here, has the same agent address.
+    #[error("back end `{0}` already uses that agent address")]
     AgentInUse(String),
-    /// The back end's state does not allow it.
+    /// The back end's state does not allow the command.
     #[error("back end `{name}` is {state}, which does not allow {event}")]
     NotAllowed {
         /// The back end.
         name: String,
-        /// Its state.
+        /// Its state, as named in its chart.
         state: &'static str,
-        /// The command.
+        /// The command, as named in the chart.
         event: &'static str,
     },
-    /// Identities are used up.
-    #[error("no identity is left for another {0}")]
+    /// Every id of a service or back end has been assigned; ids are never reused.
+    #[error("no id is left for another {0}")]
     IdsExhausted(&'static str),
-    /// The program's own chart is broken.
+    /// The state chart of back ends, which is part of the program, is invalid.
     #[error("{0}")]
     Chart(#[from] loftdrift_findings::Findings),
 }
 
-/// A refused statement: where it stands and why it is refused.
+/// A refused statement: its byte offset in the script and the reason.
 pub type LocatedEditError = (usize, EditError);
 
-/// The configuration after `statements`, one revision on; queries change nothing.
+/// Returns the configuration after all `statements`, with the next revision, or every statement
+/// that cannot be applied. `show` statements change nothing.
 pub fn apply(
     configuration: &Configuration,
     statements: &[Statement],
@@ -101,11 +102,11 @@
     if let Some((name_in_use, _)) = name_in_use {
         return Err(EditError::AddressInUse(name_in_use.clone()));
     }
-    let id = configuration.next_service + 1;
+    let id = configuration.last_service_id + 1;
     if id > MAX_VNI {
         return Err(EditError::IdsExhausted("service"));
     }
-    configuration.next_service = id;
+    configuration.last_service_id = id;
     let service = Service {
         id,
         address: *address,
@@ -156,11 +157,11 @@
         return Err(EditError::AgentInUse(name_in_use.clone()));
     }
     let version = configuration.version;
-    let id = configuration.next_backend.checked_add(1);
+    let id = configuration.last_backend_id.checked_add(1);
     let id = id.ok_or(EditError::IdsExhausted("back end"))?;
     let target = configuration.services.get_mut(service);
     let target = target.ok_or_else(|| EditError::UnknownService(service.clone()))?;
-    configuration.next_backend = id;
+    configuration.last_backend_id = id;
     let backend = Backend {
         id,
         agent: *agent,
@@ -204,7 +205,7 @@
     Ok(())
 }
 
-/// A new shift begins at the share that the one before it has reached.
+/// Starts a shift from the share that the service's previous shift has reached by now.
 fn shift(configuration: &mut Configuration, statement: &StatementKind) -> Result<(), EditError> {
     const PERMILLE_PER_PERCENT: u16 = 10;
     const WHOLE_PERMILLE: u16 = 1_000;
--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -1,4 +1,4 @@
-//! The operators' language: a script of statements, one a line.
+//! The command language for operators: a script with one statement per line.
 
 use crate::lifecycle::{BackendEvent, BackendState};
 use crate::model::{ServiceTransport, Site};
@@ -10,7 +10,7 @@
 
 #[allow(missing_docs)]
 mod grammar {
-    /// The parser made from `commands.pest`.
+    /// The parser generated from `commands.pest`.
     #[derive(pest_derive::Parser)]
     #[grammar = "commands.pest"]
     pub struct CommandParser;
@@ -20,32 +20,33 @@
 const DEFAULT_SLOTS: u32 = 7;
 const DEFAULT_CONNECTIONS: u32 = 2_000;
 const DEFAULT_ZONE: &str = "local";
-/// `docs/design/0001-steering.md` gives imbalance and hops for other lengths.
+/// `docs/design/0001-steering.md` lists load imbalance and extra hops for other numbers of
+/// candidates.
 const DEFAULT_CANDIDATES: u8 = 4;
 const MAX_CANDIDATES: u32 = 6;
 const MAX_SHIFT_SECONDS: u64 = 30 * 24 * 3_600;
 
-/// A statement with its place in the script.
+/// A statement with its position in the script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     /// Byte offset in the script.
     pub offset: usize,
-    /// What it says.
+    /// The command and its arguments.
     pub kind: StatementKind,
 }
 
-/// What a statement says.
+/// The command and the arguments of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
     /// `create service`
     CreateService {
         /// Name of the new service.
         name: String,
-        /// Address that callers dial.
+        /// Address to which callers connect.
         address: SocketAddrV4,
         /// TCP or UDP.
         transport: ServiceTransport,
-        /// Length of a new flow's tour.
+        /// Number of candidate back ends among which a new flow picks the least loaded.
         candidates: u8,
     },
     /// `delete service`
@@ -59,59 +60,59 @@
         name: String,
         /// Its service.
         service: String,
-        /// Where the agent reaches it.
+        /// Address at which the agent connects to the back end.
         server: SocketAddrV4,
-        /// The agent beside it.
+        /// UDP address of the back end's agent.
         agent: SocketAddrV4,
-        /// Its zone.
+        /// Zone of the back end.
         zone: String,
-        /// Its side of a migration.
+        /// The back end's side of a migration between two data centres.
         site: Site,
-        /// Requests at a time.
+        /// Maximum number of concurrent requests.
         slots: u32,
-        /// Flows at max.
+        /// Maximum number of flows.
         connections: u32,
-        /// Joining or active.
+        /// Initial state: joining or active.
         state: BackendState,
     },
     /// `activate`, `drain` or `detach backend`
     ChangeBackend {
         /// The back end.
         name: String,
-        /// What happens to it.
+        /// The event passed to the back end's state chart.
         event: BackendEvent,
     },
     /// `shift SERVICE to site`
     Shift {
         /// The service.
         service: String,
-        /// The site that new flows move to.
+        /// The site whose share of new flows is set.
         site: Site,
-        /// Its share of new flows at the end, in percent.
+        /// Share of new flows that the site gets at the end of the shift, in percent.
         percent: u8,
-        /// How long the shift takes, in seconds.
+        /// Duration of the shift, in seconds.
         duration_seconds: u64,
-        /// When it starts, in seconds since the Unix epoch; see [`set_start_times`].
+        /// Start of the shift, in seconds since the Unix epoch; set by [`set_start_times`].
         start_seconds: u64,
     },
     /// `show`
     Show(Query),
 }
 
-/// What a `show` asks for.
+/// What a `show` statement lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
     /// Every service.
     Services,
     /// Every back end.
     Backends,
-    /// Back ends that are leaving.
+    /// Back ends in state leaving.
     Draining,
 }
 
-/// Gives statements that start now their time, in seconds since the Unix epoch.
+/// Sets the start time of every shift to `unix_seconds`, in seconds since the Unix epoch.
 ///
-/// Parsing knows no clock; whoever carries a script out calls this first.
+/// The parser has no access to a clock, so this must be called before the statements are applied.
 pub fn set_start_times(statements: &mut [Statement], unix_seconds: u64) {
     for statement in statements {
         if let StatementKind::Shift { start_seconds, .. } = &mut statement.kind {
@@ -120,7 +121,7 @@
     }
 }
 
-/// Reads a script; `file` names it in findings.
+/// Parses a script. Findings refer to it as `file`.
 pub fn parse_script(file: &str, text: &str) -> Result<Vec<Statement>, Findings> {
     let mut findings = Collector::new(file, text);
     let mut statements = Vec::new();
@@ -150,7 +151,7 @@
     findings.finish(statements)
 }
 
-/// The grammar's rules in the operators' words.
+/// Describes what the parser expected, in terms that operators know.
 fn describe_rules(rules: &[Rule]) -> String {
     let mut words: Vec<&str> = rules.iter().map(|rule| describe_rule(*rule)).collect();
     words.sort_unstable();
@@ -296,7 +297,7 @@
     }
 }
 
-/// Whether a rule is a word between names, which carries nothing to read.
+/// Whether a rule matches a fixed keyword, which carries no value.
 fn is_keyword(rule: Rule) -> bool {
     matches!(
         rule,
@@ -313,7 +314,7 @@
     Some(StatementKind::ChangeBackend { name: name.as_str().to_owned(), event })
 }
 
-/// The rule of the option inside `option`, and its value.
+/// The rule of the specific option inside `option`, and the option's value.
 fn option_value(option: Pair<'_, Rule>) -> Option<(Rule, Pair<'_, Rule>)> {
     let inner = option.into_inner().next()?;
     let rule = inner.as_rule();
@@ -324,7 +325,7 @@
     match pair.as_str().parse::<SocketAddrV4>() {
         Ok(address) if address.port() != 0 => Some(address),
         _ => {
-            let problem = format!("`{}` is no address", pair.as_str());
+            let problem = format!("`{}` is not a valid address", pair.as_str());
             findings.add(pair.as_span().start(), problem, "IP:PORT with a port from 1 to 65535");
             None
         }
@@ -352,7 +353,7 @@
     percent
 }
 
-/// A duration in seconds.
+/// Reads a duration and returns it in seconds.
 fn read_duration(findings: &mut Collector<'_>, pair: Pair<'_, Rule>) -> Option<u64> {
     let text = pair.as_str();
     let (digits, unit) = text.split_at(text.len() - 1);
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,8 +1,10 @@
-//! The operators' configuration, without I/O.
+//! The configuration that operators maintain, without I/O.
 //!
-//! [`Configuration`] is the model; [`parse_script`] reads the operators' language;
-//! [`apply`] edits a configuration; [`Commit`] carries a script into the platform's key-value
-//! store at most once; [`Documents`] is the store's layout and follows its watch events.
+//! - [`Configuration`] is the data model.
+//! - [`parse_script`] parses the operators' command language.
+//! - [`apply`] edits a configuration.
+//! - [`Commit`] commits a script to the platform's key-value store at most once.
+//! - [`Documents`] is the layout in the store and is kept up to date by watch events.
 
 mod commit;
 mod documents;
--- a/crates/configuration/src/lifecycle.rs
+++ b/crates/configuration/src/lifecycle.rs
@@ -1,20 +1,21 @@
-//! The life cycles that state charts describe: back ends, balancer and agent processes.
+//! States and events of back ends, balancer processes and agent processes. The transitions are
+//! defined by state charts.
 
 use loftdrift_charts::{ChartNames, TypedChart};
 use loftdrift_findings::Findings;
 use serde::{Deserialize, Serialize};
 
-/// Where a back end stands in its life.
+/// Life cycle state of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BackendState {
-    /// Takes new flows at a reduced share while it warms up.
+    /// Accepts new flows at a reduced share while it warms up.
     Joining,
-    /// Takes new flows.
+    /// Accepts new flows.
     Active,
-    /// Takes no new flows and keeps those it has.
+    /// Accepts no new flows and keeps those it has.
     Leaving,
-    /// Out of the configuration.
+    /// Removed from the configuration.
     Detached,
 }
 
@@ -28,13 +29,13 @@
 }
 
 impl BackendState {
-    /// Whether the back end may open new flows.
+    /// Whether the back end accepts new flows.
     pub fn accepts_new_flows(self) -> bool {
         matches!(self, BackendState::Joining | BackendState::Active)
     }
 }
 
-/// An operator's command to a back end.
+/// An operator's command that changes the state of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BackendEvent {
     /// `activate backend`
@@ -50,16 +51,16 @@
         &[(Self::Activate, "activate"), (Self::Drain, "drain"), (Self::Detach, "detach")];
 }
 
-/// Where a balancer or agent process stands in its life.
+/// Life cycle state of a balancer or agent process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessState {
     /// Waits for its first configuration.
     Starting,
-    /// Does its work.
+    /// Handles flows.
     Serving,
-    /// Takes no new work and finishes what it has.
+    /// Winds down before it stops: an agent opens no new flows, a balancer answers no more echoes.
     Draining,
-    /// May exit.
+    /// The process may exit.
     Stopped,
 }
 
@@ -72,14 +73,14 @@
     ];
 }
 
-/// What happens to a process.
+/// An event in the life cycle of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessEvent {
-    /// The first configuration is in force.
+    /// The first configuration was adopted.
     Configured,
-    /// SIGTERM or SIGINT.
+    /// SIGTERM or SIGINT was received.
     StopRequested,
-    /// Nothing is left to finish.
+    /// No work is left, or the time for draining is over.
     Drained,
 }
 
@@ -91,17 +92,17 @@
     ];
 }
 
-/// The chart of a back end, from `charts/backend.toml`.
+/// The state chart of a back end, from `charts/backend.toml`.
 pub fn backend_chart() -> Result<TypedChart<BackendState, BackendEvent>, Findings> {
     TypedChart::parse("charts/backend.toml", include_str!("../../../charts/backend.toml"))
 }
 
-/// The chart of a balancer process, from `charts/balancer.toml`.
+/// The state chart of a balancer process, from `charts/balancer.toml`.
 pub fn balancer_chart() -> Result<TypedChart<ProcessState, ProcessEvent>, Findings> {
     TypedChart::parse("charts/balancer.toml", include_str!("../../../charts/balancer.toml"))
 }
 
-/// The chart of an agent process, from `charts/agent.toml`.
+/// The state chart of an agent process, from `charts/agent.toml`.
 pub fn agent_chart() -> Result<TypedChart<ProcessState, ProcessEvent>, Findings> {
     TypedChart::parse("charts/agent.toml", include_str!("../../../charts/agent.toml"))
 }
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -1,4 +1,4 @@
-//! The configuration's model. It serializes to the documents in the key-value store.
+//! Data model of the configuration, which is serialized into documents in the key-value store.
 
 use crate::lifecycle::BackendState;
 use loftdrift_wire::{BackendId, Candidate, ServiceId, Transport};
@@ -7,20 +7,21 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// Most generations of a service's members that are kept for flows that live on.
+/// How many generations of a service's members are kept. Older ones are needed to find flows that
+/// were opened under them and still exist.
 pub const MAX_GENERATIONS: usize = 6;
 
-/// Names a configuration; a node adopts only higher ones.
+/// Version of a configuration. A node adopts only versions higher than its current one.
 ///
-/// The incarnation rises when the store was lost or restored from an older copy, so that its
-/// revisions may start over without rolling any node back.
+/// The incarnation increases when the store was lost or restored from an older copy, so that
+/// revisions can start over without any node going back to an older configuration.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// Rises when the store starts over.
+    /// Increases when the store was lost or restored from an older copy.
     pub incarnation: u64,
-    /// Rises by one with each accepted script.
+    /// Increases by one with each accepted script.
     pub revision: u64,
 }
 
@@ -33,28 +34,29 @@
 /// Everything that operators have configured.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Configuration {
-    /// Which one this is.
+    /// Version of this configuration.
     pub version: Version,
-    /// The next service's identity.
-    pub next_service: u32,
-    /// The next back end's identity; identities are never used again.
-    pub next_backend: u16,
+    /// The id assigned to a service last; the next service gets the one after it.
+    pub last_service_id: u32,
+    /// The id assigned to a back end last; the next back end gets the one after it. Ids are never
+    /// reused.
+    pub last_backend_id: u16,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
 }
 
 impl Configuration {
-    /// The service and the back end of that name, back ends' names being unique.
+    /// Finds a back end and its service by the back end's name, which is unique over all services.
     pub fn find_backend(&self, name: &str) -> Option<(&Service, &Backend)> {
         self.services.values().find_map(|service| Some((service, service.backends.get(name)?)))
     }
 }
 
-/// How a service's flows are carried.
+/// Transport protocol of a service's flows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceTransport {
-    /// TCP, spliced to the back end's socket.
+    /// TCP; the agent forwards data between the caller's connection and a socket to the back end.
     Tcp,
     /// UDP.
     Udp,
@@ -69,55 +71,56 @@
     }
 }
 
-/// Which data centre of a migration a back end stands in.
+/// Data centre of a back end during a migration between two data centres.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Site {
-    /// The side being left.
+    /// The data centre that the migration leaves.
     Left,
-    /// The side being joined.
+    /// The data centre that the migration moves to.
     Right,
 }
 
-/// A service: one address that callers dial.
+/// A service: one address to which callers connect, served by a set of back ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Identity, carried as GENEVE virtual network identifier.
+    /// Id, carried in packets as the GENEVE virtual network identifier (VNI).
     pub id: u32,
-    /// Address that callers dial.
+    /// Address to which callers connect.
     pub address: SocketAddrV4,
     /// TCP or UDP.
     pub transport: ServiceTransport,
-    /// How many candidates a new flow's tour asks.
+    /// Number of candidate back ends among which a new flow picks the least loaded.
     pub candidates: u8,
-    /// Version that last changed this service.
+    /// Version of the configuration that last changed this service.
     pub changed: Version,
     /// Back ends by name.
     pub backends: BTreeMap<String, Backend>,
-    /// The members that took new flows, newest first; never empty once a back end is attached.
+    /// The sets of back ends that accepted new flows over time, newest first. Never empty once a
+    /// back end has been attached.
     pub generations: Vec<Generation>,
-    /// How new flows are shared between the sites; without it, sites do not matter.
+    /// How new flows are split between the sites. Without it, a back end's site is ignored.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub shift: Option<SiteShift>,
 }
 
-/// A share of new flows that moves to the right site over time. Flows that exist stay.
+/// Gradual change of the share of new flows that go to the right site. Existing flows stay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SiteShift {
     /// The right site's share at the start, in thousandths.
     pub from_permille: u16,
-    /// Its share at the end, in thousandths.
+    /// The right site's share at the end, in thousandths.
     pub to_permille: u16,
-    /// When it starts, in seconds since the Unix epoch.
+    /// Start of the shift, in seconds since the Unix epoch.
     #[serde(rename = "starts")]
     pub start_seconds: u64,
-    /// How long it takes, in seconds.
+    /// Duration of the shift, in seconds.
     #[serde(rename = "seconds")]
     pub duration_seconds: u64,
 }
 
 impl SiteShift {
-    /// The right site's share at a time since the Unix epoch, in thousandths.
+    /// The right site's share in thousandths at `now`, the time since the Unix epoch.
     pub fn right_permille(&self, now: Duration) -> u16 {
         let elapsed = now.saturating_sub(Duration::from_secs(self.start_seconds));
         let duration = Duration::from_secs(self.duration_seconds);
@@ -131,13 +134,14 @@
 }
 
 impl Service {
-    /// The identity as it stands in packets.
+    /// The id as used in packets.
     pub fn service_id(&self) -> ServiceId {
         ServiceId(self.id)
     }
 
-    /// Records a new generation when the set of back ends that take new flows has changed. All
-    /// statements of one script make one generation, so that scripts do not use up the history.
+    /// Adds a generation if the set of back ends that accept new flows has changed. All statements
+    /// of one script share one generation, so that a long script does not push older generations
+    /// out of the history, which holds [`MAX_GENERATIONS`].
     pub fn record_generation(&mut self, epoch: u64) {
         self.generations.retain(|generation| generation.epoch != epoch);
         let members: Vec<Member> = self
@@ -154,28 +158,28 @@
     }
 }
 
-/// The back ends that took new flows from one configuration on.
+/// The back ends that accepted new flows from one revision of the configuration on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Generation {
-    /// The configuration's revision from which it was in force.
+    /// Revision of the configuration that introduced this generation.
     pub epoch: u64,
-    /// Its members in the order of their names.
+    /// Its members, ordered by name.
     pub members: Vec<Member>,
 }
 
-/// A back end in a generation.
+/// A back end as a member of a generation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Its identity.
+    /// Id of the back end.
     pub backend: u16,
     /// UDP address of its agent.
     pub agent: SocketAddrV4,
-    /// Side of a migration it stands on.
+    /// Its side of a migration between two data centres.
     pub site: Site,
 }
 
 impl Member {
-    /// The member as it stands in packets.
+    /// The member as used in packets.
     pub fn candidate(&self) -> Candidate {
         Candidate { backend: BackendId(self.backend), agent: self.agent }
     }
@@ -184,20 +188,20 @@
 /// A back end of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backend {
-    /// Identity, unique over all services.
+    /// Id, unique over all services.
     pub id: u16,
-    /// UDP address of the agent beside it.
+    /// UDP address of its agent.
     pub agent: SocketAddrV4,
-    /// Address at which the agent reaches it.
+    /// Address at which the agent connects to it.
     pub server: SocketAddrV4,
-    /// Zone it stands in.
+    /// Zone in which it runs.
     pub zone: String,
-    /// Side of a migration it stands on.
+    /// Its side of a migration between two data centres.
     pub site: Site,
-    /// Requests that it works on at a time.
+    /// Maximum number of requests that it processes concurrently.
     pub slots: u32,
-    /// Flows that it holds at most.
+    /// Maximum number of its flows.
     pub connections: u32,
-    /// Where it stands in its life.
+    /// Life cycle state.
     pub state: BackendState,
 }
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -1,13 +1,13 @@
-//! What the cores ask of the key-value store, in the terms of etcd's v3 interface.
+//! Requests to the key-value store and its replies, modelled on the etcd v3 API.
 
-/// A key with its value and the store's revision that last wrote it.
+/// A key with its value and the store revision that last wrote it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyValue {
     /// The key.
     pub key: String,
     /// The value, a JSON document.
     pub value: String,
-    /// The store's revision that last wrote the key (etcd `mod_revision`).
+    /// The store revision that last wrote the key (etcd `mod_revision`).
     pub mod_revision: u64,
 }
 
@@ -43,12 +43,12 @@
 /// A request to the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreRequest {
-    /// Every key that begins with the prefix.
+    /// Reads all keys that begin with the prefix.
     ReadPrefix {
         /// The prefix.
         prefix: String,
     },
-    /// Writes everything when every condition holds, otherwise nothing.
+    /// Performs all writes if every condition holds, otherwise none.
     Transaction {
         /// The conditions.
         conditions: Vec<StoreCondition>,
@@ -57,21 +57,21 @@
     },
 }
 
-/// An answer of the store.
+/// A reply of the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StoreReply {
     /// The keys that were read, at one store revision.
     Keys {
         /// The keys.
         keys: Vec<KeyValue>,
-        /// The store's revision of the reading.
+        /// The store revision at which the keys were read.
         revision: u64,
     },
-    /// Whether the conditions held and the writes took effect.
+    /// A transaction was executed.
     Transacted {
-        /// They did.
+        /// Whether the conditions held and the writes took effect.
         succeeded: bool,
     },
-    /// No answer: the request may have taken effect or not.
+    /// No reply was received; the request may or may not have taken effect.
     Lost,
 }
--- a/crates/configuration/tests/commit.rs
+++ b/crates/configuration/tests/commit.rs
@@ -1,4 +1,4 @@
-//! A command takes effect at most once and its operator is told the truth, whatever is lost.
+//! A command takes effect at most once and reports its real outcome, whatever messages are lost.
 
 use loftdrift_configuration::{
     Commit, CommitAction, CommitOutcome, Configuration, Documents, KeyValue, Statement,
@@ -7,7 +7,7 @@
 use loftdrift_testkit::check_fixed_seeds;
 use std::collections::BTreeMap;
 
-/// A store that keeps values with the revision that last wrote them.
+/// An in-memory store that keeps each value with the revision that last wrote it.
 #[derive(Default)]
 struct Store {
     keys: BTreeMap<String, (String, u64)>,
@@ -15,7 +15,7 @@
 }
 
 impl Store {
-    fn carry_out(&mut self, request: &StoreRequest) -> StoreReply {
+    fn execute(&mut self, request: &StoreRequest) -> StoreReply {
         match request {
             StoreRequest::ReadPrefix { prefix } => {
                 let selected = self.keys.iter().filter(|(key, _)| key.starts_with(prefix));
@@ -54,7 +54,7 @@
     fn configuration(&mut self) -> Configuration {
         let request =
             StoreRequest::ReadPrefix { prefix: loftdrift_configuration::KEY_PREFIX.to_owned() };
-        let StoreReply::Keys { keys, .. } = self.carry_out(&request) else {
+        let StoreReply::Keys { keys, .. } = self.execute(&request) else {
             return Configuration::default();
         };
         Documents::read(&keys).expect("documents").configuration()
@@ -77,7 +77,7 @@
     loop {
         match action {
             CommitAction::Done(outcome) => return outcome,
-            CommitAction::Send(request) => action = commit.step(store.carry_out(&request)),
+            CommitAction::Send(request) => action = commit.step(store.execute(&request)),
         }
     }
 }
@@ -89,10 +89,10 @@
     store
 }
 
-/// Two operators take turns at random; answers, requests and delayed transactions get lost or come
-/// late. Whoever was told `accepted` has taken effect, whoever was told otherwise has not.
+/// Three commands run interleaved at random, while requests and replies are lost or delayed. Every
+/// command reported as accepted must have taken effect, and every refused one must not.
 #[test]
-fn racing_operators_with_lost_answers_are_told_the_truth() {
+fn concurrent_commands_with_lost_replies_report_their_real_outcome() {
     check_fixed_seeds(|input| {
         let mut store = prepared();
         let mut commits: Vec<(String, Commit, CommitAction)> = Vec::new();
@@ -101,40 +101,40 @@
             let action = commit.start();
             commits.push((name.to_owned(), commit, action));
         }
-        let mut late: Vec<StoreRequest> = Vec::new();
+        let mut delayed: Vec<StoreRequest> = Vec::new();
         for _ in 0..200 {
             let index = input.int_in_range(0..=commits.len() - 1)?;
-            let fate = input.int_in_range(0..=9_u8)?;
+            let fault = input.int_in_range(0..=9_u8)?;
             let (_, commit, action) = &mut commits[index];
             let CommitAction::Send(request) = action else {
                 continue;
             };
             let request = request.clone();
-            let reply = match fate {
+            let reply = match fault {
                 0 => StoreReply::Lost,
                 1 => {
-                    store.carry_out(&request);
+                    store.execute(&request);
                     StoreReply::Lost
                 }
                 2 => {
-                    late.push(request);
+                    delayed.push(request);
                     StoreReply::Lost
                 }
-                _ => store.carry_out(&request),
+                _ => store.execute(&request),
             };
             *action = commit.step(reply);
             if input.ratio(1, 4)? {
-                late.drain(..).for_each(|request| drop(store.carry_out(&request)));
+                delayed.drain(..).for_each(|request| drop(store.execute(&request)));
             }
         }
-        late.drain(..).for_each(|request| drop(store.carry_out(&request)));
+        delayed.drain(..).for_each(|request| drop(store.execute(&request)));
         let configuration = store.configuration();
         for (name, _, action) in &commits {
-            let there = configuration.find_backend(name).is_some();
+            let found = configuration.find_backend(name).is_some();
             match action {
-                CommitAction::Done(CommitOutcome::Accepted(_)) => assert!(there, "{name} is lost"),
+                CommitAction::Done(CommitOutcome::Accepted(_)) => assert!(found, "{name} is lost"),
                 CommitAction::Done(CommitOutcome::Unknown) | CommitAction::Send(_) => {}
-                CommitAction::Done(outcome) => assert!(!there, "{name} took effect: {outcome:?}"),
+                CommitAction::Done(outcome) => assert!(!found, "{name} took effect: {outcome:?}"),
             }
         }
         let effects =
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_repeat_under_the_same_identity_takes_effect_once() {
+fn a_repeat_under_the_same_id_takes_effect_once() {
     let mut store = prepared();
     let first = run(&mut store, "same", attach("a", 9_001));
     let again = run(&mut store, "same", attach("a", 9_001));
@@ -158,10 +158,10 @@
     let mut store = prepared();
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let CommitAction::Send(read) = commit.start() else { panic!("no request") };
-    let CommitAction::Send(write) = commit.step(store.carry_out(&read)) else { panic!("no write") };
+    let CommitAction::Send(write) = commit.step(store.execute(&read)) else { panic!("no write") };
     run(&mut store, "theirs", attach("b", 9_002));
-    let CommitAction::Send(read) = commit.step(store.carry_out(&write)) else { panic!("no read") };
-    let action = commit.step(store.carry_out(&read));
+    let CommitAction::Send(read) = commit.step(store.execute(&write)) else { panic!("no read") };
+    let action = commit.step(store.execute(&read));
     let CommitAction::Done(CommitOutcome::Conflict { service, changed }) = action else {
         panic!("{action:?}")
     };
@@ -173,16 +173,16 @@
     let mut store = prepared();
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let CommitAction::Send(read) = commit.start() else { panic!("no request") };
-    let mut action = commit.step(store.carry_out(&read));
+    let mut action = commit.step(store.execute(&read));
     run(&mut store, "theirs", statements("create service sheets at 10.20.0.2:80"));
     while let CommitAction::Send(request) = action {
-        action = commit.step(store.carry_out(&request));
+        action = commit.step(store.execute(&request));
     }
     assert!(matches!(action, CommitAction::Done(CommitOutcome::Accepted(_))), "{action:?}");
 }
 
 #[test]
-fn a_store_that_never_answers_is_told_as_unreachable_or_unknown() {
+fn a_store_that_never_replies_is_reported_as_unreachable_or_unknown() {
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let mut action = commit.start();
     while let CommitAction::Send(_) = action {
@@ -192,7 +192,7 @@
     let mut store = prepared();
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let CommitAction::Send(read) = commit.start() else { panic!("no request") };
-    let mut action = commit.step(store.carry_out(&read));
+    let mut action = commit.step(store.execute(&read));
     while let CommitAction::Send(_) = action {
         action = commit.step(StoreReply::Lost);
     }
--- a/crates/configuration/tests/edits.rs
+++ b/crates/configuration/tests/edits.rs
@@ -1,4 +1,4 @@
-//! What statements do to a configuration.
+//! Effects of statements on a configuration.
 
 use loftdrift_configuration::{Configuration, EditError, apply, parse_script, set_start_times};
 use std::time::Duration;
@@ -8,7 +8,7 @@
     apply(configuration, &statements).expect("a change that fits")
 }
 
-fn refusals(configuration: &Configuration, script: &str) -> Vec<EditError> {
+fn edit_errors(configuration: &Configuration, script: &str) -> Vec<EditError> {
     let statements = parse_script("test", script).expect("a script");
     let errors = apply(configuration, &statements).expect_err("a change that does not fit");
     errors.into_iter().map(|(_, error)| error).collect()
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn identities_are_never_used_again() {
+fn ids_are_never_reused() {
     let before = two_backends();
     let gone = edit(&edit(&before, "drain backend b"), "detach backend b");
     let again = edit(&gone, "attach backend b to tiles at 127.0.0.1:9002 agent 127.0.0.1:6002");
@@ -50,13 +50,13 @@
 }
 
 #[test]
-fn a_script_with_any_refusal_changes_nothing_and_names_them_all() {
+fn a_script_with_invalid_statements_changes_nothing_and_reports_all_of_them() {
     let script = "create service tiles at 10.20.0.9:80\n\
                   create service other at 10.20.0.1:80\n\
                   drain backend nobody\n\
                   detach backend a\n\
                   attach backend c to tiles at 127.0.0.1:9003 agent 127.0.0.1:6001";
-    let found = refusals(&two_backends(), script);
+    let found = edit_errors(&two_backends(), script);
     assert!(matches!(&found[0], EditError::ServiceExists(name) if name == "tiles"));
     assert!(matches!(&found[1], EditError::AddressInUse(name) if name == "tiles"));
     assert!(matches!(&found[2], EditError::UnknownBackend(name) if name == "nobody"));
@@ -66,14 +66,14 @@
 }
 
 #[test]
-fn a_misspelt_statement_is_shown_with_its_place_and_what_was_expected() {
+fn a_misspelt_statement_is_reported_with_its_position_and_what_was_expected() {
     let findings = parse_script("test", "show services\ndrain bakend a").expect_err("a finding");
     assert_eq!((findings.list[0].position.line, findings.list[0].position.column), (2, 7));
     assert_eq!(findings.list[0].expected, "backend");
 }
 
 #[test]
-fn a_shift_moves_the_share_over_time_and_the_next_one_begins_where_it_is() {
+fn a_shift_moves_the_share_over_time_and_the_next_one_starts_at_the_share_reached() {
     let run = |configuration: &Configuration, script: &str, unix_seconds: u64| {
         let mut statements = parse_script("test", script).expect("a script");
         set_start_times(&mut statements, unix_seconds);
@@ -88,12 +88,12 @@
     assert_eq!(shares, [0, 0, 250, 500, 500]);
     let back = run(&first, "shift tiles to site left 100% over 100s", 1_300);
     assert_eq!([1_300, 1_350, 1_400].map(|at| share(&back, at)), [250, 125, 0]);
-    let refused = refusals(&two_backends(), "shift nobody to site right 1%");
+    let refused = edit_errors(&two_backends(), "shift nobody to site right 1%");
     assert!(matches!(&refused[0], EditError::UnknownService(name) if name == "nobody"));
 }
 
 #[test]
-fn shares_and_durations_out_of_range_are_found() {
+fn shares_and_durations_out_of_range_are_reported() {
     let script = "shift tiles to site right 101%\nshift tiles to site left 5% over 721h";
     let findings = parse_script("test", script).expect_err("findings");
     assert_eq!(findings.list.len(), 2, "{findings}");
