--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! Settings of one process: one TOML file, flags override it, all findings reported together.
+//! Settings of a process, read from a TOML file and overridden by command-line flags.
 //!
-//! The file's `role` says which settings it holds. [`Settings::read`] checks everything and
-//! returns either typed settings or every finding with its place.
+//! The file's `role` determines which settings it may contain. [`Settings::read`] checks the whole
+//! file and returns either typed settings or all findings with their positions.
 
 mod reader;
 mod roles;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values from a table, flags first, and collects what is wrong with them.
+//! Reads typed values from a TOML table, with flags taking precedence, and collects findings.
 
 use loftdrift_findings::Collector;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,47 +6,51 @@
 use std::time::Duration;
 use toml_edit::{Item, Table, Value};
 
-/// Values given by flags, by the name of the setting that they override.
+/// Values given by command-line flags, keyed by the name of the setting that they override.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
     values: BTreeMap<String, String>,
 }
 
 impl Overrides {
-    /// The flag `--NAME VALUE`; dashes in the name stand for the setting's underscores.
+    /// Adds the flag `--NAME VALUE`. Dashes in the flag's name are converted to the underscores of
+    /// the setting's name.
     pub fn set(&mut self, name: &str, value: String) {
         self.values.insert(name.replace('-', "_"), value);
     }
 
-    /// The setting that a flag overrides: its value.
+    /// The value that a flag gives to a setting, if any.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.values.get(name).map(String::as_str)
     }
 }
 
-const EXPECTED_ADDRESS: &str = "an address in quotes, \"IP:PORT\"";
+/// What is expected where a setting should be an address.
+const IP_PORT: &str = "an address in quotes, \"IP:PORT\"";
+/// Upper limit of settings that are durations: one day.
 const MAX_SECONDS: f64 = 86_400.0;
 
-/// A value as it was found, with its place.
+/// Where a setting's value was found.
 enum Found<'a> {
     Flag(&'a str),
     File(&'a Value),
     Missing,
 }
 
-/// Reads one table: asks for each setting by name, collects findings, and at the end reports every
-/// key that nobody asked for.
+/// Reads the settings of one table by name and collects findings. [`Reader::finish`] then reports
+/// every key and flag that was never read as unknown.
 pub struct Reader<'a, 'c> {
     findings: &'c mut Collector<'a>,
     table: &'c Table,
     overrides: &'c Overrides,
+    /// Names of the settings that have been read.
     known: BTreeSet<&'static str>,
-    /// Addresses that this process listens on, with the setting that names them.
+    /// Addresses on which this process listens, with the name of the setting.
     listeners: Vec<(SocketAddrV4, &'static str)>,
 }
 
 impl<'a, 'c> Reader<'a, 'c> {
-    /// A reader of one table.
+    /// Creates a reader for one table.
     pub fn new(
         findings: &'c mut Collector<'a>,
         table: &'c Table,
@@ -55,12 +59,12 @@
         Reader { findings, table, overrides, known: BTreeSet::new(), listeners: Vec::new() }
     }
 
-    /// Records a finding at a byte offset.
+    /// Records a finding at a byte offset in the file.
     pub fn finding(&mut self, offset: usize, problem: String, expected: &str) {
         self.findings.add(offset, problem, expected);
     }
 
-    /// Reports every key that no reader has asked for.
+    /// Reports every key and flag that was never read as unknown.
     pub fn finish(mut self) {
         let keys: Vec<String> = self.table.iter().map(|(key, _)| key.to_owned()).collect();
         let known = self.known.iter().copied().collect::<Vec<_>>().join(", ");
@@ -120,14 +124,14 @@
         self.finding(0, format!("flag `--{flag} {value}` is not understood"), expected);
     }
 
-    /// A text that may be missing.
+    /// Reads an optional string, which must not be empty.
     pub fn optional_text(&mut self, name: &'static str) -> Option<String> {
         match self.find(name) {
             Found::Flag(text) => Some(text.to_owned()),
             Found::File(value) => match value.as_str() {
                 Some(text) if !text.is_empty() => Some(text.to_owned()),
                 _ => {
-                    self.invalid_value(name, value, "a text in quotes that is not empty");
+                    self.invalid_value(name, value, "a non-empty string in quotes");
                     None
                 }
             },
@@ -135,13 +139,13 @@
         }
     }
 
-    /// A text.
+    /// Reads a required string.
     pub fn text(&mut self, name: &'static str) -> Option<String> {
         let value = self.optional_text(name);
-        self.require(name, value, "a text in quotes")
+        self.require(name, value, "a string in quotes")
     }
 
-    /// An address that may be missing.
+    /// Reads an optional address.
     pub fn optional_address(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         match self.find(name) {
             Found::Flag(text) => match text.parse() {
@@ -154,7 +158,7 @@
             Found::File(value) => {
                 let address = value.as_str().and_then(|text| text.parse().ok());
                 if address.is_none() {
-                    self.invalid_value(name, value, EXPECTED_ADDRESS);
+                    self.invalid_value(name, value, IP_PORT);
                 }
                 address
             }
@@ -162,26 +166,28 @@
         }
     }
 
-    /// An address.
+    /// Reads a required address.
     pub fn address(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let value = self.optional_address(name);
-        self.require(name, value, EXPECTED_ADDRESS)
+        self.require(name, value, IP_PORT)
     }
 
-    /// An address to listen on, which no other setting may name, unless the kernel chooses the port.
+    /// Reads an optional address to listen on. Two settings must not name the same address, unless
+    /// its port is 0, for which the kernel chooses a free port.
     pub fn optional_listener(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let address = self.optional_address(name)?;
         self.add_listener(name, address, self.key_offset(name));
         Some(address)
     }
 
-    /// An address to listen on.
+    /// Reads a required address to listen on; see [`Reader::optional_listener`].
     pub fn listener(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let value = self.optional_listener(name);
-        self.require(name, value, EXPECTED_ADDRESS)
+        self.require(name, value, IP_PORT)
     }
 
-    /// Notes an address that this process listens on; a finding when another setting names it.
+    /// Adds an address on which this process listens, and a finding if another setting has the
+    /// same address.
     pub fn add_listener(&mut self, name: &'static str, address: SocketAddrV4, offset: usize) {
         let conflicting = self.listeners.iter().find(|(listener, _)| *listener == address);
         if let Some((_, other)) = conflicting.filter(|_| address.port() != 0) {
@@ -191,7 +197,7 @@
         self.listeners.push((address, name));
     }
 
-    /// A whole number of at least `least`.
+    /// Reads an integer of at least `min`.
     pub fn count(&mut self, name: &'static str, min: u64, default: u64) -> Option<u64> {
         let expected = format!("a whole number of at least {min}");
         let number = match self.find(name) {
@@ -214,7 +220,7 @@
         Some(number)
     }
 
-    /// A number in a range.
+    /// Reads a number from `min` to `max`.
     pub fn number(&mut self, name: &'static str, min: f64, max: f64, default: f64) -> Option<f64> {
         let expected = format!("a number from {min} to {max}");
         let number = match self.find(name) {
@@ -244,12 +250,12 @@
         Some(number)
     }
 
-    /// A time in seconds, up to a day.
+    /// Reads a duration in seconds, at most one day.
     pub fn seconds(&mut self, name: &'static str, default: f64) -> Option<Duration> {
         self.number(name, 0.0, MAX_SECONDS, default).map(Duration::from_secs_f64)
     }
 
-    /// `true` or `false`.
+    /// Reads a boolean.
     pub fn switch(&mut self, name: &'static str, default: bool) -> Option<bool> {
         match self.find(name) {
             Found::Flag(text) => match text.parse() {
@@ -269,12 +275,12 @@
         }
     }
 
-    /// A list of texts, each with its byte offset.
+    /// Reads a list of strings, each with its byte offset. A flag separates them by commas.
     pub fn texts(&mut self, name: &'static str) -> Vec<(String, usize)> {
         let array = match self.find(name) {
             Found::File(Value::Array(array)) => array,
             Found::File(value) => {
-                self.invalid_value(name, value, "a list of texts in quotes");
+                self.invalid_value(name, value, "a list of strings in quotes");
                 return Vec::new();
             }
             Found::Flag(text) => {
@@ -288,25 +294,25 @@
                 Some(text) => {
                     texts.push((text.to_owned(), value.span().map_or(0, |span| span.start)));
                 }
-                None => self.invalid_value(name, value, "a text in quotes"),
+                None => self.invalid_value(name, value, "a string in quotes"),
             }
         }
         texts
     }
 
-    /// A list of addresses.
+    /// Reads a list of addresses.
     pub fn addresses(&mut self, name: &'static str) -> Vec<SocketAddrV4> {
         let mut addresses = Vec::new();
         for (text, offset) in self.texts(name) {
             match text.parse() {
                 Ok(address) => addresses.push(address),
-                Err(_) => self.finding(offset, format!("`{text}` is no address"), EXPECTED_ADDRESS),
+                Err(_) => self.finding(offset, format!("`{text}` is not a valid address"), IP_PORT),
             }
         }
         addresses
     }
 
-    /// The zone of this process, which must be among `zones` when these are listed.
+    /// Reads the zone of this process, which must be in the list `zones` if that is set.
     pub fn zone(&mut self) -> Option<String> {
         let zones: Vec<String> = self.texts("zones").into_iter().map(|(zone, _)| zone).collect();
         let zone = self.optional_text("zone")?;
@@ -318,39 +324,40 @@
         Some(zone)
     }
 
-    /// The tables of an array of tables.
+    /// Reads an array of tables; empty if it is missing.
     pub fn tables(&mut self, name: &'static str) -> Vec<&'c Table> {
         self.known.insert(name);
         match self.table.get(name) {
             Some(Item::ArrayOfTables(tables)) => tables.iter().collect(),
             Some(_) => {
                 let offset = self.key_offset(name);
-                self.finding(offset, format!("`{name}` is no list of tables"), "[[…]] tables");
+                self.finding(offset, format!("`{name}` is not an array of tables"), "[[…]] tables");
                 Vec::new()
             }
             None => Vec::new(),
         }
     }
 
-    /// A table that may be missing.
+    /// Reads an optional table.
     pub fn table(&mut self, name: &'static str) -> Option<&'c Table> {
         self.known.insert(name);
         match self.table.get(name)? {
             Item::Table(table) => Some(table),
             _ => {
                 let offset = self.key_offset(name);
-                self.finding(offset, format!("`{name}` is no table"), "a [table]");
+                self.finding(offset, format!("`{name}` is not a table"), "a [table]");
                 None
             }
         }
     }
 
-    /// The byte offset at which this table starts.
+    /// The byte offset of the start of this table.
     pub fn offset(&self) -> usize {
         self.table.span().map_or(0, |span| span.start)
     }
 
-    /// A reader of a table inside this one, to which flags do not reach.
+    /// Creates a reader for a table nested in this one. Flags apply to top-level settings only, so
+    /// `no_overrides` must be empty.
     pub fn inner<'i>(
         &'i mut self,
         table: &'i Table,
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -1,4 +1,4 @@
-//! The settings of each kind of process.
+//! The settings of each role a process can have.
 
 use crate::reader::{Overrides, Reader};
 use loftdrift_findings::{Collector, Findings};
@@ -8,14 +8,15 @@
 
 const DEFAULT_FLOW_BUFFER_BYTES: u64 = 16 * 1024;
 const MIN_FLOW_BUFFER_BYTES: u64 = 2_048;
-/// A configuration is in force everywhere within 18 s; the grace must be longer.
+/// Must be longer than the 18 s within which all nodes adopt a new configuration. Otherwise agents
+/// would reset flows only because some nodes still use an older configuration.
 const DEFAULT_UNKNOWN_GRACE_SECONDS: f64 = 20.0;
 const DEFAULT_UDP_IDLE_SECONDS: f64 = 30.0;
 const DEFAULT_RAMP_SECONDS: f64 = 10.0;
 const DEFAULT_BALANCER_DRAIN_SECONDS: f64 = 2.0;
 const DEFAULT_AGENT_DRAIN_SECONDS: f64 = 3_600.0;
 
-/// A kind of process.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// `loftdrift balancer`
@@ -42,7 +43,7 @@
         (Role::Callers, "callers"),
     ];
 
-    /// The role's name in files and on the command line.
+    /// The role's name in settings files and on the command line.
     pub fn name(self) -> &'static str {
         Self::ALL.iter().find(|(role, _)| *role == self).map_or("", |(_, name)| name)
     }
@@ -55,46 +56,46 @@
 /// Settings of a balancer process.
 #[derive(Clone, Debug)]
 pub struct BalancerProcessSettings {
-    /// UDP address for GENEVE.
+    /// UDP address on which GENEVE packets are received.
     pub listen: SocketAddrV4,
-    /// Key-value store.
+    /// Address of the key-value store.
     pub platform: SocketAddrV4,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served, if any.
     pub metrics: Option<SocketAddrV4>,
-    /// Zone that it stands in.
+    /// Zone in which the process runs.
     pub zone: Option<String>,
-    /// How long it forwards after it has stopped answering the fabric.
+    /// How long it goes on forwarding packets after it stopped answering the fabric's echoes.
     pub drain_duration: Duration,
-    /// Most probes to agents in one second.
+    /// Maximum number of probes to agents per second.
     pub probes_per_second: u32,
 }
 
 /// Settings of an agent process.
 #[derive(Clone, Debug)]
 pub struct AgentProcessSettings {
-    /// UDP address for GENEVE.
+    /// UDP address on which GENEVE packets are received.
     pub listen: SocketAddrV4,
-    /// Name of the back end beside it.
+    /// Name of the back end that the agent serves.
     pub backend: String,
-    /// UDP address of the fabric.
+    /// UDP address of the fabric, to which packets for callers are sent.
     pub fabric: SocketAddrV4,
-    /// Key-value store.
+    /// Address of the key-value store.
     pub platform: SocketAddrV4,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served, if any.
     pub metrics: Option<SocketAddrV4>,
-    /// Zone that it stands in.
+    /// Zone in which the process runs.
     pub zone: Option<String>,
-    /// Longest wait for its flows to end after a request to stop.
+    /// How long it waits for its flows to end after a request to stop.
     pub drain_timeout: Duration,
-    /// Size of each of a flow's two buffers, in bytes.
+    /// Size of each of the two buffers of a TCP flow, in bytes.
     pub flow_buffer_bytes: usize,
-    /// Whether flows carry cookies in TCP timestamps.
+    /// Whether TCP timestamps carry a cookie that identifies the back end.
     pub cookies: bool,
-    /// How long a flow stays unknown before it is reset.
+    /// How long a flow must stay unknown before its packets are answered with a reset.
     pub unknown_grace: Duration,
-    /// A UDP flow without packets for so long is over.
+    /// A UDP flow ends after this time without packets.
     pub udp_idle: Duration,
-    /// A back end that has come up works up to its full share for so long.
+    /// Slow start: a back end that came up reaches its full share of new flows after this time.
     pub ramp: Duration,
 }
 
@@ -107,12 +108,12 @@
     Udp,
 }
 
-/// A port on which the fabric stand-in takes callers.
+/// An address on which the fabric stand-in accepts callers of one service.
 #[derive(Clone, Debug)]
 pub struct FabricListener {
-    /// The port.
+    /// The address to which callers connect.
     pub listen: SocketAddrV4,
-    /// The service's address in packets.
+    /// The service's address, as used in packets.
     pub service: SocketAddrV4,
     /// TCP or UDP.
     pub transport: ListenerTransport,
@@ -121,72 +122,72 @@
 /// Settings of the fabric stand-in.
 #[derive(Clone, Debug)]
 pub struct FabricProcessSettings {
-    /// UDP address for GENEVE.
+    /// UDP address on which GENEVE packets are received.
     pub listen: SocketAddrV4,
-    /// Balancers known from the start.
+    /// Balancers that are known from the start.
     pub balancers: Vec<SocketAddrV4>,
-    /// Machine list, if it is to be read.
+    /// Address of the platform's machine list, if it is to be read.
     pub platform: Option<SocketAddrV4>,
-    /// Ports for callers.
+    /// Addresses on which callers are accepted.
     pub listeners: Vec<FabricListener>,
-    /// Whether flows offer TCP timestamps.
+    /// Whether TCP flows offer the timestamps option.
     pub timestamps: bool,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 /// Settings of the platform stand-in.
 #[derive(Clone, Debug)]
 pub struct PlatformProcessSettings {
-    /// HTTP address.
+    /// Address on which HTTP is served.
     pub listen: SocketAddrV4,
-    /// Most requests a second, 0 for no limit.
+    /// Maximum number of requests per second; 0 for no limit.
     pub requests_per_second: u64,
-    /// How late changes of the machine list show.
+    /// Delay after which changes of the machine list become visible.
     pub machine_lag: Duration,
 }
 
 /// Settings of a back end stand-in.
 #[derive(Clone, Debug)]
 pub struct BackendProcessSettings {
-    /// HTTP address.
+    /// Address on which HTTP is served.
     pub listen: SocketAddrV4,
     /// The service's name.
     pub service: String,
     /// The back end's name.
     pub name: String,
-    /// Requests at a time.
+    /// Maximum number of requests processed concurrently.
     pub slots: usize,
-    /// Requests that may wait.
+    /// Maximum number of requests that wait for a slot.
     pub max_queued: u64,
-    /// Time a request takes.
+    /// Processing time of a request.
     pub work_duration: Duration,
-    /// Time from the start during which work takes longer.
+    /// Time after the start during which requests take longer.
     pub cold_start: Duration,
-    /// Lag of the load page.
+    /// Age of the load that the load page reports.
     pub load_lag: Duration,
 }
 
 /// Settings of the callers stand-in.
 #[derive(Clone, Debug)]
 pub struct CallersProcessSettings {
-    /// The service's name, which answers must bear.
+    /// The service's name, which every answer must contain.
     pub service: String,
-    /// Where the fabric listens for the service.
+    /// Address on which the fabric accepts callers of the service.
     pub address: SocketAddrV4,
-    /// How many callers there are.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// How long they call.
+    /// How long the callers send requests.
     pub duration: Duration,
-    /// Share of requests that submit.
+    /// Share of requests that are submissions (POST) rather than fetches (GET), from 0 to 1.
     pub submit_share: f64,
-    /// Largest fetched body, in bytes.
+    /// Maximum size of a fetched body, in bytes.
     pub body_bytes: u64,
-    /// Pause between a flow's requests.
+    /// Pause between two requests of a flow.
     pub pause: Duration,
-    /// Most requests on one flow.
+    /// Maximum number of requests per flow.
     pub requests_per_flow: u64,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -208,8 +209,8 @@
 }
 
 impl Settings {
-    /// Reads a settings file. `requested` is the role that the command line asks for; without it the
-    /// file's own decides.
+    /// Parses the text of a settings file. Findings refer to it as `file`. `requested` is the role
+    /// given on the command line; without it, the file's `role` decides.
     pub fn read(
         file: &str,
         text: &str,
@@ -232,7 +233,7 @@
     }
 }
 
-/// Settings are missing only when there are findings, and then this is not reached.
+/// Unwraps settings that were read without findings. Missing settings always cause a finding.
 fn expect_settings(settings: Option<Settings>) -> Settings {
     settings.expect("a reader that returns nothing has recorded a finding")
 }
@@ -253,7 +254,7 @@
             findings.add(offset, format!("unknown role `{shown}`"), names.join(", "));
         }
         (Some(role), Some(requested)) if role != requested => {
-            let problem = format!("these are settings of a {}", role.name());
+            let problem = format!("these settings are for role `{}`", role.name());
             findings.add(offset, problem, format!("role = \"{}\"", requested.name()));
         }
         _ => {}
@@ -268,7 +269,7 @@
     overrides: &Overrides,
 ) -> Option<Settings> {
     let mut reader = Reader::new(findings, table, overrides);
-    // The role was read before; here it only counts as known.
+    // `role` was checked before; reading it marks it as known, so that it is not reported.
     let _ = table.get("role").and_then(Item::as_str).map(|_| reader.optional_text("role"));
     let settings = match role {
         Role::Balancer => read_balancer(&mut reader).map(Settings::Balancer),
@@ -282,7 +283,7 @@
     settings
 }
 
-// Each reader below asks for every setting before the first `?`, so that all findings are made.
+// Each function below reads all settings before its first `?`, so that all findings are collected.
 
 fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerProcessSettings> {
     let listen = reader.listener("listen");
--- a/crates/settings/tests/findings.rs
+++ b/crates/settings/tests/findings.rs
@@ -1,4 +1,4 @@
-//! Every finding on a settings file is reported, with its place and what was expected.
+//! Every finding in a settings file is reported, with its position and what was expected.
 
 use loftdrift_settings::{Overrides, Role, Settings};
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn all_findings_on_a_balancers_file_come_together() {
+fn all_findings_in_a_file_are_reported_together() {
     let found = findings(
         "role = \"balancer\"\n\
          listen = \"127.0.0.1\"\n\
@@ -39,12 +39,12 @@
 }
 
 #[test]
-fn a_doubled_listener_and_zero_slots_are_found() {
-    let doubled = findings(
+fn a_duplicate_listener_and_zero_slots_are_reported() {
+    let duplicate = findings(
         "role = \"agent\"\nlisten = \"127.0.0.1:5000\"\nmetrics = \"127.0.0.1:5000\"\n\
          backend = \"a\"\nfabric = \"127.0.0.1:1\"\nplatform = \"127.0.0.1:2\"\n",
     );
-    has(&doubled, 3, 1, "`metrics` listens on 127.0.0.1:5000, as `listen` does");
+    has(&duplicate, 3, 1, "`metrics` listens on 127.0.0.1:5000, as `listen` does");
     let slots = findings(
         "role = \"backend\"\nlisten = \"127.0.0.1:5000\"\nservice = \"s\"\nname = \"a\"\nslots = 0\n",
     );
@@ -64,18 +64,18 @@
 }
 
 #[test]
-fn a_broken_document_is_one_finding_at_its_place() {
+fn a_syntax_error_is_one_finding_at_its_position() {
     let found = findings("role = \"balancer\"\nlisten = = 3\n");
     assert_eq!(found.len(), 1);
     assert_eq!(found[0].0, 2);
 }
 
 #[test]
-fn the_wrong_role_and_an_unknown_one_are_told() {
+fn a_wrong_role_and_an_unknown_role_are_reported() {
     let text = "role = \"agent\"\n";
     let findings = Settings::read("t", text, Some(Role::Balancer), &Overrides::default());
     let shown = findings.expect_err("findings").to_string();
-    assert!(shown.contains("t:1:8: these are settings of a agent"), "{shown}");
+    assert!(shown.contains("t:1:8: these settings are for role `agent`"), "{shown}");
     has(&self::findings("role = \"cook\"\n"), 1, 8, "unknown role `cook`");
 }
 
