--- a/crates/charts/src/chart.rs
+++ b/crates/charts/src/chart.rs
@@ -1,51 +1,51 @@
-//! The compiled chart: one table look-up a step.
+//! The loaded chart: a transition table, in which each transition is one lookup.
 
-/// A state's place in its chart.
+/// Index of a state in its chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct StateIndex(pub(crate) u8);
 
-/// An event's place in its chart.
+/// Index of an event in its chart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct EventIndex(pub(crate) u8);
 
-/// What an event does in a state.
+/// Effect of an event in a state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transition {
-    /// The state changes.
+    /// The state changes to this one.
     To(StateIndex),
-    /// Nothing changes.
+    /// The state does not change.
     Stay,
     /// The event is not allowed in this state.
     Refuse,
 }
 
-/// A chart that passed every check on loading.
+/// A chart that has passed all checks.
 #[derive(Clone, Debug)]
 pub struct Chart {
     pub(crate) initial: StateIndex,
     pub(crate) states: Vec<String>,
     pub(crate) events: Vec<String>,
-    /// Row per state, column per event.
+    /// A row per state and a column per event.
     pub(crate) transitions: Vec<Vec<Transition>>,
 }
 
 impl Chart {
-    /// The state in which life begins.
+    /// The initial state.
     pub fn initial(&self) -> StateIndex {
         self.initial
     }
 
-    /// What `event` does in `state`.
+    /// Effect of `event` in `state`.
     pub fn transition(&self, state: StateIndex, event: EventIndex) -> Transition {
         self.transitions[usize::from(state.0)][usize::from(event.0)]
     }
 
-    /// The names of the states in the file's order.
+    /// The names of the states in the order of the file.
     pub fn states(&self) -> &[String] {
         &self.states
     }
 
-    /// The names of the events in the file's order.
+    /// The names of the events in the order of the file.
     pub fn events(&self) -> &[String] {
         &self.events
     }
--- a/crates/charts/src/lib.rs
+++ b/crates/charts/src/lib.rs
@@ -1,9 +1,9 @@
-//! State charts in files that the code interprets.
+//! State charts: finite state machines defined in TOML files.
 //!
-//! A chart is a TOML file that names its events, its states, and for each state what every event
-//! does: a target state, `stay` (nothing changes) or `refuse` (the event is not allowed here).
-//! Loading checks the whole chart and reports all findings with their places.
-//! [`TypedChart`] ties a chart to the code's own enums of states and events.
+//! A chart lists its events and states and defines the effect of every event in every state: a
+//! target state, `stay` (the state does not change) or `refuse` (the event is not allowed here).
+//! Loading checks the whole chart and reports all findings with their positions.
+//! [`TypedChart`] maps a chart to Rust enums of states and events.
 
 mod chart;
 mod load;
--- a/crates/charts/src/load.rs
+++ b/crates/charts/src/load.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a chart file.
+//! Parses and checks a chart file.
 
 use crate::chart::{Chart, StateIndex, Transition};
 use loftdrift_findings::{Collector, Findings};
@@ -9,7 +9,7 @@
 const MAX_STATES: usize = 64;
 
 impl Chart {
-    /// Reads a chart; `file` names it in findings.
+    /// Parses a chart. Findings refer to it as `file`.
     pub fn parse(file: &str, text: &str) -> Result<Chart, Findings> {
         let mut findings = Collector::new(file, text);
         let document = match ImDocument::parse(text) {
@@ -93,7 +93,7 @@
                     self.findings.add(
                         start,
                         format!("event `{name}` is listed twice"),
-                        "each once",
+                        "each event once",
                     );
                 }
                 Some(name) => events.push(name.to_owned()),
@@ -167,6 +167,7 @@
         }
     }
 
+    /// Reports every state that no sequence of events reaches from the initial state.
     fn check_reachable(
         &mut self,
         states: &Table,
--- a/crates/charts/src/typed.rs
+++ b/crates/charts/src/typed.rs
@@ -1,12 +1,12 @@
-//! Ties a chart to the code's enums, so that a step takes and gives typed values.
+//! Maps a chart to Rust enums, so that transitions take and return typed values.
 
 use crate::chart::{Chart, EventIndex, StateIndex, Transition};
 use loftdrift_findings::{Collector, Findings};
 use std::marker::PhantomData;
 
-/// An enum whose values a chart names.
+/// An enum of states or events whose values have names in a chart.
 pub trait ChartNames: Copy + PartialEq + 'static {
-    /// Every value with its name in the chart.
+    /// All values with their names in the chart.
     const NAMES: &'static [(Self, &'static str)];
 
     /// The value's name in the chart.
@@ -16,12 +16,12 @@
     }
 }
 
-/// A typed step's outcome.
+/// Effect of an event in a state, with the target state as an enum value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TypedTransition<S> {
-    /// The state changes.
+    /// The state changes to this one.
     To(S),
-    /// Nothing changes.
+    /// The state does not change.
     Stay,
     /// The event is not allowed in this state.
     Refuse,
@@ -31,13 +31,13 @@
 #[derive(Clone, Debug)]
 pub struct TypedChart<S, E> {
     initial: S,
-    /// Row per state and column per event, in the order of the enums' names.
+    /// A row per state and a column per event, in the order of [`ChartNames::NAMES`].
     transitions: Vec<Vec<TypedTransition<S>>>,
     event_type: PhantomData<E>,
 }
 
 impl<S: ChartNames, E: ChartNames> TypedChart<S, E> {
-    /// Reads a chart and checks that it names the enums' values, all and only those.
+    /// Parses a chart and checks that its names are exactly those of the enums' values.
     pub fn parse(file: &str, text: &str) -> Result<Self, Findings> {
         let chart = Chart::parse(file, text)?;
         let mut findings = Collector::new(file, text);
@@ -58,17 +58,17 @@
         })
     }
 
-    /// The state in which life begins.
+    /// The initial state.
     pub fn initial(&self) -> S {
         self.initial
     }
 
-    /// What `event` does in `state`.
+    /// Effect of `event` in `state`.
     pub fn transition(&self, state: S, event: E) -> TypedTransition<S> {
         self.transitions[index_in_enum(state)][index_in_enum(event)]
     }
 
-    /// The state after `event`, the same one when the event changes nothing or is refused.
+    /// The state after `event`: unchanged if the event has no effect or is refused.
     pub fn next_state(&self, state: S, event: E) -> S {
         match self.transition(state, event) {
             TypedTransition::To(target) => target,
--- a/crates/charts/tests/loading.rs
+++ b/crates/charts/tests/loading.rs
@@ -1,4 +1,4 @@
-//! Broken charts are refused with the place of each fault; good ones are interpreted.
+//! Invalid charts are rejected with the position of each fault; valid charts are interpreted.
 
 use loftdrift_charts::{Chart, ChartNames, TypedChart, TypedTransition};
 
@@ -22,13 +22,13 @@
     const NAMES: &'static [(Self, &'static str)] = &[(Self::In, "in"), (Self::Out, "out")];
 }
 
-const GOOD: &str = "initial = \"shut\"\nevents = [\"in\", \"out\"]\n\
+const VALID: &str = "initial = \"shut\"\nevents = [\"in\", \"out\"]\n\
     [states.shut]\nin = \"open\"\nout = \"refuse\"\n\
     [states.open]\nin = \"stay\"\nout = \"shut\"\n";
 
 #[test]
-fn a_good_chart_is_interpreted() {
-    let chart: TypedChart<Door, Push> = TypedChart::parse("door", GOOD).expect("a chart");
+fn a_valid_chart_is_interpreted() {
+    let chart: TypedChart<Door, Push> = TypedChart::parse("door", VALID).expect("a chart");
     assert_eq!(chart.initial(), Door::Shut);
     assert_eq!(chart.transition(Door::Shut, Push::In), TypedTransition::To(Door::Open));
     assert_eq!(chart.transition(Door::Shut, Push::Out), TypedTransition::Refuse);
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn each_fault_is_found_at_its_place() {
+fn each_fault_is_reported_at_its_position() {
     let text = "initial = \"shut\"\nevents = [\"in\", \"out\"]\n\
         [states.shut]\nin = \"ajar\"\nout = \"refuse\"\n\
         [states.open]\nin = \"stay\"\nknock = \"shut\"\n";
@@ -50,15 +50,15 @@
 }
 
 #[test]
-fn a_missing_initial_state_is_found() {
-    let text = GOOD.replace("initial = \"shut\"", "initial = \"ajar\"");
+fn a_missing_initial_state_is_reported() {
+    let text = VALID.replace("initial = \"shut\"", "initial = \"ajar\"");
     let shown = Chart::parse("door", &text).expect_err("findings").to_string();
     assert!(shown.contains("door:1:11: initial state `ajar` is missing"), "{shown}");
 }
 
 #[test]
 fn a_chart_must_name_exactly_the_programs_states() {
-    let text = GOOD.replace("shut", "closed");
+    let text = VALID.replace("shut", "closed");
     let found = TypedChart::<Door, Push>::parse("door", &text).expect_err("findings");
     let shown = found.to_string();
     assert!(shown.contains("the program has no state `closed`"), "{shown}");
--- a/crates/counters/src/lib.rs
+++ b/crates/counters/src/lib.rs
@@ -1,7 +1,9 @@
-//! Counter sets that cores own and shells publish.
+//! Counter sets, which cores own and the drivers around them publish.
 //!
-//! A core counts in plain integers of a struct made by [`counter_set!`]; its shell copies the
-//! struct out every second. [`render`] turns any number of copies into the Prometheus text format.
+//! A core is a state machine without I/O. It counts in plain integers of a struct defined by
+//! [`counter_set!`]; its driver, the task that does the I/O, publishes a copy of the values at
+//! intervals or on request. [`render`] converts any number of copies into the Prometheus text
+//! format.
 
 mod histogram;
 mod packet_drops;
@@ -15,38 +17,38 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Registry;
 
-/// Whether a value only rises or may fall.
+/// Type of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SampleKind {
-    /// Only rises; shown with the suffix `_total`.
+    /// Never decreases; rendered with the suffix `_total`.
     Counter,
-    /// The value of now.
+    /// A current value, which may decrease.
     Gauge,
 }
 
-/// One value of a counter set.
+/// One metric of a counter set with its value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sample {
-    /// Name, unique in the set, in snake case.
+    /// Name, unique in its set, in snake case.
     pub name: &'static str,
-    /// One line of help.
+    /// Help text, on one line.
     pub help: &'static str,
     /// Counter or gauge.
     pub kind: SampleKind,
-    /// The value.
+    /// Value at the time of sampling.
     pub value: u64,
 }
 
-/// A struct of counters that lists its values.
+/// A struct of counters that can list its values.
 pub trait CounterSet {
-    /// Every value with name and help, in a fixed order.
+    /// All values with name and help text, in a fixed order.
     fn samples(&self) -> Vec<Sample>;
 }
 
 /// Defines a struct of public `u64` counters that implements [`CounterSet`].
 ///
-/// The doc comment of each field is its help text. Fields behind `gauges` may fall; those behind
-/// `includes` are counter sets whose values are listed with the others.
+/// The doc comment of each field is its help text. Fields in the `gauges` block are gauges. Fields
+/// in the `includes` block are other counter sets, whose values are listed after the struct's own.
 #[macro_export]
 macro_rules! counter_set {
     (
@@ -89,18 +91,18 @@
     };
 }
 
-/// Samples of one role, as the shell copied them out.
+/// Metrics of one role, as published by its driver.
 #[derive(Clone, Debug)]
 pub struct PublishedSet {
-    /// The role that counted, such as `balancer`: the middle of the metric's name.
+    /// The role that counts, such as `balancer`; it follows `loftdrift_` in each metric's name.
     pub role: &'static str,
-    /// Its values.
+    /// Its counters and gauges.
     pub samples: Vec<Sample>,
-    /// Its histograms; clones of those that the role goes on filling.
+    /// Its histograms. They share their buckets with those that the role keeps filling.
     pub histograms: Vec<Histogram>,
 }
 
-/// The samples of one kind of a set.
+/// Collects the samples of one kind from a set.
 #[derive(Debug)]
 struct SetCollector {
     set: PublishedSet,
@@ -132,8 +134,8 @@
     }
 }
 
-/// The Prometheus text of `sets`: state first, then what was counted, then histograms. A reader that
-/// keeps only the beginning of a page keeps what tells most.
+/// Renders `sets` in the Prometheus text format: first gauges, then counters, then histograms. A
+/// monitoring system that keeps only the beginning of a page thus keeps the most useful values.
 pub fn render(sets: &[PublishedSet]) -> String {
     let mut scalars = Registry::default();
     for kind in [SampleKind::Gauge, SampleKind::Counter] {
@@ -158,7 +160,7 @@
     page
 }
 
-/// The values that are not zero, as `name=value`, for the periodic counters line.
+/// Formats the values other than zero as `name=value`, for the periodic log line of counters.
 pub fn format_nonzero(samples: &[Sample]) -> String {
     let parts: Vec<String> = samples
         .iter()
--- a/crates/counters/src/packet_drops.rs
+++ b/crates/counters/src/packet_drops.rs
@@ -1,9 +1,9 @@
-//! Packets that do not decode, for every role that receives them.
+//! Counters of packets that cannot be decoded, shared by all roles that receive packets.
 
 use loftdrift_wire::{GeneveError, InnerError};
 
 crate::counter_set! {
-    /// Packets dropped because they do not decode, by reason.
+    /// Packets dropped because they cannot be decoded, by reason.
     pub struct PacketDrops {
         /// Dropped: the datagram ends inside the GENEVE header or options.
         dropped_truncated,
@@ -13,23 +13,23 @@
         dropped_geneve_protocol,
         /// Dropped: unknown critical GENEVE option.
         dropped_geneve_option,
-        /// Dropped: steering option malformed, missing, or where none belongs.
+        /// Dropped: steering option malformed, missing, or present where none is allowed.
         dropped_steering_option,
-        /// Dropped: control packet that is no echo.
+        /// Dropped: control packet other than a liveness echo.
         dropped_control,
-        /// Dropped: inner packet is not a whole IPv4 packet.
+        /// Dropped: inner packet is not a complete IPv4 packet.
         dropped_inner_malformed,
-        /// Dropped: wrong IPv4 header checksum.
+        /// Dropped: wrong checksum in the inner IPv4 header.
         dropped_inner_checksum,
-        /// Dropped: fragment.
+        /// Dropped: inner packet is an IPv4 fragment.
         dropped_inner_fragment,
-        /// Dropped: neither TCP nor UDP.
+        /// Dropped: inner packet is neither TCP nor UDP.
         dropped_inner_transport,
     }
 }
 
 impl PacketDrops {
-    /// Counts a datagram that is no GENEVE packet.
+    /// Counts a datagram whose GENEVE header or options cannot be decoded.
     pub fn count_geneve_error(&mut self, error: GeneveError) {
         match error {
             GeneveError::Truncated => self.dropped_truncated += 1,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Counts an inner packet that is none of ours.
+    /// Counts an inner packet that cannot be decoded.
     pub fn count_inner_error(&mut self, error: InnerError) {
         match error {
             InnerError::Malformed => self.dropped_inner_malformed += 1,
--- a/crates/counters/tests/render.rs
+++ b/crates/counters/tests/render.rs
@@ -1,10 +1,10 @@
-//! Counters and histograms on the page of metrics.
+//! Rendering of counters and histograms as a page of metrics.
 
 use loftdrift_counters::{Histogram, PublishedSet, Sample, SampleKind, render};
 use std::time::Duration;
 
 #[test]
-fn histograms_stand_beside_counters_under_their_roles_name() {
+fn histograms_and_counters_are_rendered_under_their_roles_name() {
     let answer = Histogram::seconds("answer_seconds", "Time of an answer.");
     let offers = Histogram::counts("offers", "Offers.");
     let sample = Sample { name: "asked", help: "Asked.", kind: SampleKind::Counter, value: 7 };
@@ -30,10 +30,11 @@
     }
 }
 
-/// Monitoring that kept the first 4 KiB of each page held nothing but histograms: neither the version in
-/// force nor what was passed over could be told afterwards.
+/// When histograms came first, a monitoring system that kept only the first 4 KiB of each page
+/// recorded nothing else: neither the configuration version in force nor the counters of what was
+/// skipped could be determined afterwards.
 #[test]
-fn a_page_begins_with_state_and_ends_with_histograms() {
+fn a_page_begins_with_gauges_and_ends_with_histograms() {
     let sample = |name, kind| Sample { name, help: "Some.", kind, value: 3 };
     let set = |role| PublishedSet {
         role,
@@ -41,8 +42,8 @@
         histograms: vec![Histogram::counts("offers", "Offers.")],
     };
     let page = render(&[set("agent"), set("store")]);
-    let place = |line: &str| page.find(line).unwrap_or_else(|| panic!("{line}\n{page}"));
-    assert!(place("loftdrift_store_version 3") < place("loftdrift_agent_asked_total 3"));
-    assert!(place("loftdrift_store_asked_total 3") < place("loftdrift_agent_offers_bucket"));
+    let offset = |line: &str| page.find(line).unwrap_or_else(|| panic!("{line}\n{page}"));
+    assert!(offset("loftdrift_store_version 3") < offset("loftdrift_agent_asked_total 3"));
+    assert!(offset("loftdrift_store_asked_total 3") < offset("loftdrift_agent_offers_bucket"));
     assert!(page.ends_with("# EOF\n"), "{page}");
 }
--- a/crates/findings/src/lib.rs
+++ b/crates/findings/src/lib.rs
@@ -1,22 +1,22 @@
-//! Findings on texts that people write: settings files, state charts, command scripts.
+//! Findings (problems found) in files that people write: settings, state charts, command scripts.
 //!
-//! A checker collects every finding with its place and reports them together, so that a person
-//! mends a file in one go.
+//! A checker collects all findings with their positions and reports them together, so that all
+//! problems of a file can be fixed at once.
 
 use std::fmt;
 use thiserror::Error;
 
-/// A place in a text, both counted from 1; the column counts characters.
+/// A position in a text. Line and column count from 1; the column counts characters, not bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line.
+    /// Line number.
     pub line: usize,
-    /// The column.
+    /// Column number.
     pub column: usize,
 }
 
 impl Position {
-    /// The place of a byte offset in `text`; offsets behind the end mean the end.
+    /// Converts a byte offset in `text`. An offset beyond the end is treated as the end.
     pub fn from_offset(text: &str, offset: usize) -> Self {
         let mut end = offset.min(text.len());
         while !text.is_char_boundary(end) {
@@ -31,28 +31,28 @@
     }
 }
 
-/// One thing wrong with a text.
+/// One problem in a text.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Finding {
-    /// Where.
+    /// Position of the problem.
     pub position: Position,
-    /// What is wrong there.
+    /// Description of the problem.
     pub problem: String,
-    /// What would be right there.
+    /// What would be valid instead.
     pub expected: String,
 }
 
-/// All findings on one text, in the order of their places. Never empty when returned as an error.
+/// All findings in one text, ordered by position. Never empty when returned as an error.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub struct Findings {
-    /// Name of the file, or of where the text came from.
+    /// Name of the file or other source of the text.
     pub file: String,
-    /// The findings.
+    /// The findings, ordered by position.
     pub list: Vec<Finding>,
 }
 
 impl fmt::Display for Findings {
-    /// One line a finding: `file:line:column: problem; expected …`.
+    /// One line per finding: `file:line:column: problem; expected …`.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, finding) in self.list.iter().enumerate() {
             if index > 0 {
@@ -75,12 +75,12 @@
 }
 
 impl<'a> Collector<'a> {
-    /// A collector for `text`, which came from `file`.
+    /// Creates a collector for `text`, which was read from `file`.
     pub fn new(file: &'a str, text: &'a str) -> Self {
         Collector { file, text, list: Vec::new() }
     }
 
-    /// Records a finding at a byte offset.
+    /// Adds a finding at a byte offset.
     pub fn add(&mut self, offset: usize, problem: impl Into<String>, expected: impl Into<String>) {
         self.list.push(Finding {
             position: Position::from_offset(self.text, offset),
@@ -89,7 +89,7 @@
         });
     }
 
-    /// The value when nothing was found, otherwise all findings.
+    /// Returns `value` if there are no findings, otherwise all findings.
     pub fn finish<T>(mut self, value: T) -> Result<T, Findings> {
         if self.list.is_empty() {
             return Ok(value);
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,14 +1,15 @@
-//! Structured log lines that are bounded and never block.
+//! Structured log lines, written through a bounded queue that never blocks the caller.
 //!
-//! A line is a record of `key=value` pairs, which `grep` and `cut` read as well as programs do:
+//! A line consists of `key=value` pairs, which both programs and tools such as `grep` can read:
 //!
 //! ```text
 //! steady_ms=35753 time=2026-03-12T18:29:09.753Z level=warn node=a-1 role=balancer incarnation=7 event=opening_refused flow=100.66.0.18:1222>198.18.0.1:8443 reason=busy
 //! ```
 //!
-//! Lines go through a bounded queue to a thread that writes them: a standard output that is slow,
-//! not read or closed delays nobody. A full queue drops lines and counts them; each kind of line has
-//! a rate of its own, and failures one that ordinary lines do not use up.
+//! A bounded queue passes the lines to a thread that writes them, so that a standard output that is
+//! slow, not read or closed delays no other task. When the queue is full, lines are dropped and
+//! counted. Each kind of line has its own rate limit, so that ordinary lines cannot use up the
+//! limit of failures (level `warn` and above), which is also higher.
 
 mod line;
 mod queue;
@@ -25,43 +26,43 @@
 use std::sync::{Mutex, OnceLock};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The process's queue, once one is installed.
+/// The queue of the process, once [`install`] was called.
 static INSTALLED: OnceLock<LineQueue> = OnceLock::new();
 
-/// Lines that the process has dropped so far.
+/// Number of lines that the process has dropped so far.
 pub fn lines_dropped() -> u64 {
     INSTALLED.get().map_or(0, LineQueue::dropped)
 }
 
-/// What every line of a process says.
+/// Identifies a process in each of its log lines.
 #[derive(Clone, Debug)]
 pub struct Identity {
-    /// The node's name.
+    /// Name of the node.
     pub node: String,
-    /// What it does.
+    /// Role of the process, such as `balancer`.
     pub role: String,
-    /// Tells its starts apart.
+    /// Distinguishes one start of the node from another.
     pub incarnation: u64,
 }
 
-/// Keeps the writer; asks it to finish when the process ends.
+/// Handle to the log queue, used to write the remaining lines before the process ends.
 #[derive(Debug)]
 pub struct LogGuard {
     queue: LineQueue,
 }
 
 impl LogGuard {
-    /// Gives the writer a bounded time for the lines that are still in the queue.
+    /// Waits until the lines still in the queue are written, at most for `timeout`.
     pub fn finish(self, timeout: Duration) {
         self.queue.drain(timeout);
     }
 }
 
-/// Sends the process's log lines to `output`. The default level is `info`; the variable `RUST_LOG`
-/// overrides it. Only the first call in a process takes effect.
+/// Installs the logger of the process, which writes to `output`. The default level is `info`; the
+/// environment variable `RUST_LOG` overrides it. Only the first call in a process takes effect.
 pub fn install(identity: Identity, output: impl Write + Send + 'static) -> LogGuard {
     let queue = LineQueue::start(QueueSettings::default(), output);
-    // Only the first one is counted, as only it is written to.
+    // Later calls keep the first queue, as it is the only one to which the logger writes.
     let _ = INSTALLED.set(queue.clone());
     let started = Instant::now();
     let limits = Mutex::new(RateLimits::new(Rates::default()));
@@ -71,8 +72,9 @@
     builder.format(move |buffer, record| {
         let now = started.elapsed();
         let is_failure = record.level() <= Level::Warn;
+        // Lines whose message is not a literal share the kind of their log target (module path).
         let kind = record.args().as_str().unwrap_or(record.target());
-        // A panic while the lock was held leaves counts that are still good enough.
+        // If a thread panicked while it held the lock, the counts are at worst slightly wrong.
         let mut limits = limits.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
         let Some(omitted) = limits.admit(now, kind, is_failure) else {
             return Ok(());
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -1,4 +1,4 @@
-//! One line: written from a log record, read back from text.
+//! Formats a log record as a line, and parses lines.
 
 use crate::Identity;
 use log::Record;
@@ -8,7 +8,9 @@
 
 const SECONDS_PER_DAY: u64 = 86_400;
 
-/// The line of a record, its end of line included. `unix` is the time since the Unix epoch.
+/// Formats a record as one line, including the newline. `steady` is the monotonic time since the
+/// logger was installed, `unix` the time since the Unix epoch, and `omitted` the number of lines of
+/// the same kind that the rate limit suppressed since the last one.
 pub fn format_line(
     identity: &Identity,
     steady: Duration,
@@ -44,7 +46,8 @@
     }
 }
 
-/// Values with blanks, quotes or line ends stand in quotes, with these escaped.
+/// Appends ` key=value`. A value that is empty or contains a space, quote, line break or `=` is
+/// quoted and escaped.
 fn push_pair(line: &mut String, key: &str, value: &str) {
     let is_plain = !value.is_empty() && !value.contains([' ', '"', '\n', '\r', '=']);
     let _ = match is_plain {
@@ -53,7 +56,7 @@
     };
 }
 
-/// A time since the Unix epoch as RFC 3339 in UTC, to the millisecond.
+/// Formats a time since the Unix epoch according to RFC 3339, in UTC, with milliseconds.
 fn format_time(unix: Duration) -> String {
     let days = unix.as_secs() / SECONDS_PER_DAY;
     let second = unix.as_secs() % SECONDS_PER_DAY;
@@ -63,8 +66,9 @@
     format!("{year:04}-{month:02}-{day:02}T{hour:02}:{minute:02}:{second:02}.{millisecond:03}Z")
 }
 
-/// The date that lies `days` after 1970-01-01 in the Gregorian calendar: counts from March of the
-/// year 0, so that a leap day is the last of its year, in eras of 400 years.
+/// Converts days since 1970-01-01 to a date (year, month, day) of the Gregorian calendar. It counts
+/// years from March of the year 0, so that a leap day is the last day of its year, in cycles of 400
+/// years, after which the calendar repeats.
 fn civil_date(days: i64) -> (i64, i64, i64) {
     let days = days + 719_468;
     let era = days.div_euclid(146_097);
@@ -79,21 +83,23 @@
     (year, month, day)
 }
 
-/// A line read back.
+/// A log line as read from text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Line<'a> {
-    /// The whole text, without end of line.
+    /// The text of the line, without the newline.
     pub text: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// The plain value of a key; `None` when the line has none.
+    /// The value of a key, or `None` if the line lacks the key. Quoted values are not unquoted, and
+    /// end at their first space.
     pub fn value(&self, key: &str) -> Option<&'a str> {
         let pairs = self.text.split(' ').filter_map(|word| word.split_once('='));
         pairs.into_iter().find(|(found, _)| *found == key).map(|(_, value)| value)
     }
 
-    /// Milliseconds of its time of day; logs that are read together are of one day.
+    /// Time of day in milliseconds, from the key `time`. Enough to compare lines, as logs that are
+    /// read together are expected to be of one day.
     pub fn milliseconds_of_day(&self) -> Option<i64> {
         let time = self.value("time")?.split_once('T')?.1.strip_suffix('Z')?;
         let (clock, milliseconds) = time.split_once('.')?;
--- a/crates/logging/src/queue.rs
+++ b/crates/logging/src/queue.rs
@@ -1,4 +1,4 @@
-//! The bounded queue between those who log and the thread that writes.
+//! The bounded queue between the tasks that log and the thread that writes the lines.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -7,15 +7,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Stack of the writing thread, in bytes.
+/// Stack size of the writer thread.
 const STACK_BYTES: usize = 64 * 1024;
-/// How often [`LineQueue::drain`] looks.
+/// How often [`LineQueue::drain`] checks whether all lines are written.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Sizes of a queue.
+/// Settings of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueueSettings {
-    /// Most lines that wait to be written.
+    /// Maximum number of lines that wait to be written.
     pub max_lines: usize,
 }
 
@@ -25,6 +25,7 @@
     }
 }
 
+/// Numbers of lines since the start.
 #[derive(Debug, Default)]
 struct Counts {
     queued: AtomicU64,
@@ -32,7 +33,7 @@
     dropped: AtomicU64,
 }
 
-/// A queue with its writer.
+/// A queue with its writer thread. Clones share the queue.
 #[derive(Clone, Debug)]
 pub struct LineQueue {
     lines: SyncSender<Vec<u8>>,
@@ -40,23 +41,23 @@
 }
 
 impl LineQueue {
-    /// Starts the writing thread. Where none can be had, every line is dropped and counted.
+    /// Starts the writer thread. If it cannot be started, every line is dropped and counted.
     pub fn start(settings: QueueSettings, output: impl Write + Send + 'static) -> Self {
         let (lines, queue) = sync_channel(settings.max_lines);
         let counts = Arc::new(Counts::default());
         let writer = Writer { output, counts: counts.clone(), reported: 0 };
         let builder = thread::Builder::new().name("log".to_owned()).stack_size(STACK_BYTES);
-        // Without the thread the queue's other end is gone, which counts as full.
+        // Without the thread, the receiver is dropped, and `push` counts every line as dropped.
         let _ = builder.spawn(move || writer.run(queue));
         LineQueue { lines, counts }
     }
 
-    /// What the logger writes to. Each call of `write` is one line.
+    /// The output to which the logger writes. Each call of `write` is one line.
     pub fn writer(&self) -> impl Write + Send + 'static {
         QueueWriter(self.clone())
     }
 
-    /// Queues a line, or drops and counts it; never waits.
+    /// Queues a line, or drops and counts it if the queue is full. Never blocks.
     pub fn push(&self, line: &[u8]) {
         if line.is_empty() {
             return;
@@ -69,12 +70,12 @@
         };
     }
 
-    /// Lines dropped so far.
+    /// Number of lines dropped so far.
     pub fn dropped(&self) -> u64 {
         self.counts.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines are written, or for `timeout`.
+    /// Waits until all queued lines are written, at most for `timeout`.
     pub fn drain(&self, timeout: Duration) {
         let deadline = Instant::now() + timeout;
         while self.has_unwritten() && Instant::now() < deadline {
@@ -104,7 +105,7 @@
 struct Writer<W> {
     output: W,
     counts: Arc<Counts>,
-    /// Dropped lines that a line has reported of.
+    /// Number of dropped lines that were already reported.
     reported: u64,
 }
 
@@ -117,7 +118,7 @@
         }
     }
 
-    /// A closed output takes no more lines; the process goes on, and they count as dropped.
+    /// Writes a line. If the output is closed, the line counts as dropped; the process continues.
     fn write(&mut self, line: &[u8]) {
         let written = self.output.write_all(line).and_then(|()| self.output.flush());
         if written.is_err() {
@@ -125,6 +126,7 @@
         }
     }
 
+    /// Writes a line with the number of lines dropped since the last such line, if any.
     fn report_dropped(&mut self) {
         let dropped = self.counts.dropped.load(Ordering::Relaxed);
         if dropped > self.reported {
--- a/crates/logging/src/rate.rs
+++ b/crates/logging/src/rate.rs
@@ -1,14 +1,14 @@
-//! How many lines of each kind may be written.
+//! Rate limits per kind of log line.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Lines a second, and at once after a pause, for one kind.
+/// Maximum number of lines of one kind per second. They may all be written in a burst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Rates {
-    /// For kinds that tell of ordinary work.
+    /// Limit for lines below level `warn`.
     pub ordinary_per_second: u32,
-    /// For kinds that tell of failures.
+    /// Limit for lines of level `warn` or above.
     pub failures_per_second: u32,
 }
 
@@ -18,18 +18,21 @@
     }
 }
 
-/// Most kinds that are told apart.
+/// Maximum number of kinds that are tracked; lines of any further kind are not written.
 const MAX_KINDS: usize = 256;
 
+/// The rate limit of one kind.
 #[derive(Debug, Default)]
 struct KindState {
-    /// Lines written in the second that is under way.
+    /// Lines written in the current second.
     written: u32,
+    /// The current second, counted from the start of the logger.
     second: u64,
+    /// Lines suppressed since the last one that was written.
     omitted: u64,
 }
 
-/// The limits of all kinds.
+/// The rate limits of all kinds.
 #[derive(Debug)]
 pub struct RateLimits {
     rates: Rates,
@@ -37,13 +40,13 @@
 }
 
 impl RateLimits {
-    /// Limits that nothing has used yet.
+    /// Creates limits with no lines counted yet.
     pub fn new(rates: Rates) -> Self {
         RateLimits { rates, kinds: HashMap::new() }
     }
 
-    /// Whether a line of a kind may be written now: `None` when not, otherwise how many of its kind
-    /// were left out since the last one that was.
+    /// Checks whether a line of a kind may be written now. Returns `None` if not, otherwise how
+    /// many lines of that kind were suppressed since the last one that was written.
     pub fn admit(&mut self, now: Duration, kind: &str, is_failure: bool) -> Option<u64> {
         if !self.kinds.contains_key(kind) {
             if self.kinds.len() >= MAX_KINDS {
--- a/crates/logging/src/trace.rs
+++ b/crates/logging/src/trace.rs
@@ -1,8 +1,8 @@
-//! Gathers what several processes' logs say of one flow or request.
+//! Collects the lines about one flow or request from the logs of several processes.
 
 use crate::line::Line;
 
-/// Lines that tell why a flow fared as it did, without naming it.
+/// Events that may explain what happened to a flow although their lines do not contain its name.
 const CAUSES: [&str; 13] = [
     "agent_suspect",
     "agent_back",
@@ -18,12 +18,12 @@
     "stopped",
     "store_restored",
 ];
-/// Causes are shown from so many milliseconds before the flow's first line to as many after its
-/// last one.
+/// Events of [`CAUSES`] are included from this time before the flow's first line to this time after
+/// its last one.
 const CAUSE_MARGIN_MS: i64 = 3_000;
 
-/// The lines of all `logs` that belong to `id`, a flow's name or a request's, in order of the time
-/// of day, with the lines that tell of causes around them.
+/// Returns the lines of all `logs` that belong to `id`, the name of a flow or the id of a request,
+/// together with possible causes logged around that time, ordered by time and node.
 pub fn trace<'a>(id: &str, logs: &'a [String]) -> Vec<&'a str> {
     let lines: Vec<Line<'a>> =
         logs.iter().flat_map(|log| log.lines()).map(|text| Line { text }).collect();
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Lines as written, and the trace that reads them.
+//! Format of log lines, and traces of flows and requests made from them.
 
 use loftdrift_logging::{Identity, Line, format_line, trace};
 use log::{Level, Record};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_trace_follows_a_request_to_its_flow_and_shows_causes_near_it_in_order() {
+fn a_trace_of_a_request_contains_its_flow_and_the_causes_near_it_in_order() {
     let at = 1_773_340_149_000;
     let flow = "100.64.0.7:40001>198.18.0.1:443";
     let agent = [
--- a/crates/logging/tests/queue.rs
+++ b/crates/logging/tests/queue.rs
@@ -1,11 +1,11 @@
-//! Whoever logs is never held up, and what is lost is counted.
+//! Logging never blocks, and lines that are lost are counted.
 
 use loftdrift_logging::{LineQueue, QueueSettings, RateLimits, Rates};
 use std::io::{self, Write};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::Duration;
 
-/// An output that takes a line only when it is let.
+/// An output whose writes block until the test sends a permit.
 struct Gate {
     permits: Receiver<()>,
     lines: Sender<Vec<u8>>,
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn an_output_that_is_not_read_holds_nobody_up_and_drops_are_told() {
+fn an_output_that_is_not_read_blocks_no_logger_and_dropped_lines_are_reported() {
     let (output, permit, written) = gate();
     let queue = LineQueue::start(QueueSettings { max_lines: 4 }, output);
     for _ in 0..100 {
         queue.push(b"line\n");
     }
-    // Four wait, and one may be with the writer.
+    // Four lines wait in the queue, and the writer may have taken another one.
     let dropped = queue.dropped();
     assert!((95..=96).contains(&dropped), "{dropped}");
     for _ in 0..10 {
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn an_output_that_is_closed_ends_nothing() {
+fn lines_for_a_closed_output_are_counted_as_dropped() {
     let (output, permit, _written) = gate();
     drop(permit);
     let queue = LineQueue::start(QueueSettings::default(), output);
@@ -60,12 +60,12 @@
 }
 
 #[test]
-fn a_kind_has_its_rate_and_tells_what_was_left_out() {
+fn each_kind_has_its_own_rate_and_reports_omitted_lines() {
     let mut limits = RateLimits::new(Rates { ordinary_per_second: 2, failures_per_second: 3 });
     let second = Duration::from_secs(1);
     assert_eq!(limits.admit(second, "placed", false), Some(0));
     assert_eq!(limits.admit(second, "placed", false), Some(0));
     assert_eq!(limits.admit(second, "placed", false), None);
-    assert_eq!(limits.admit(second, "refused", true), Some(0), "failures have their own");
+    assert_eq!(limits.admit(second, "refused", true), Some(0), "failures have a separate limit");
     assert_eq!(limits.admit(second * 2, "placed", false), Some(1));
 }
