--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -106,7 +106,7 @@
     Services,
     /// Every back end.
     Backends,
-    /// Back ends in state leaving.
+    /// Back ends in state `leaving`.
     Draining,
 }
 
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -7,8 +7,8 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-/// How many generations of a service's members are kept. Older ones are needed to find flows that
-/// were opened under them and still exist.
+/// Maximum number of generations of members that a service keeps. Older generations are needed to
+/// find flows that were opened under them and still exist.
 pub const MAX_GENERATIONS: usize = 6;
 
 /// Version of a configuration. A node adopts only versions higher than its current one.
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -25,7 +25,7 @@
     }
 }
 
-/// What is expected where a setting should be an address.
+/// Format of an address in a settings file, as shown in findings.
 const IP_PORT: &str = "an address in quotes, \"IP:PORT\"";
 /// Upper limit of settings that are durations: one day.
 const MAX_SECONDS: f64 = 86_400.0;
@@ -38,7 +38,7 @@
 }
 
 /// Reads the settings of one table by name and collects findings. [`Reader::finish`] then reports
-/// every key and flag that was never read as unknown.
+/// as unknown every key and flag that was never read.
 pub struct Reader<'a, 'c> {
     findings: &'c mut Collector<'a>,
     table: &'c Table,
@@ -64,7 +64,7 @@
         self.findings.add(offset, problem, expected);
     }
 
-    /// Reports every key and flag that was never read as unknown.
+    /// Reports as unknown every key and flag that was never read.
     pub fn finish(mut self) {
         let keys: Vec<String> = self.table.iter().map(|(key, _)| key.to_owned()).collect();
         let known = self.known.iter().copied().collect::<Vec<_>>().join(", ");
@@ -176,7 +176,7 @@
     /// its port is 0, for which the kernel chooses a free port.
     pub fn optional_listener(&mut self, name: &'static str) -> Option<SocketAddrV4> {
         let address = self.optional_address(name)?;
-        self.add_listener(name, address, self.key_offset(name));
+        self.reserve(name, address, self.key_offset(name));
         Some(address)
     }
 
@@ -186,9 +186,9 @@
         self.require(name, value, IP_PORT)
     }
 
-    /// Adds an address on which this process listens, and a finding if another setting has the
-    /// same address.
-    pub fn add_listener(&mut self, name: &'static str, address: SocketAddrV4, offset: usize) {
+    /// Reserves an address on which this process listens. Reports a finding if another setting has
+    /// reserved the same address.
+    pub fn reserve(&mut self, name: &'static str, address: SocketAddrV4, offset: usize) {
         let conflicting = self.listeners.iter().find(|(listener, _)| *listener == address);
         if let Some((_, other)) = conflicting.filter(|_| address.port() != 0) {
             let problem = format!("`{name}` listens on {address}, as `{other}` does");
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 use toml_edit::{ImDocument, Item, Table};
 
-const DEFAULT_FLOW_BUFFER_BYTES: u64 = 16 * 1024;
-const MIN_FLOW_BUFFER_BYTES: u64 = 2_048;
+const DEFAULT_BUFFER_BYTES: u64 = 16 * 1024;
+const MIN_BUFFER_BYTES: u64 = 2_048;
 /// Must be longer than the 18 s within which all nodes adopt a new configuration. Otherwise agents
 /// would reset flows only because some nodes still use an older configuration.
 const DEFAULT_UNKNOWN_GRACE_SECONDS: f64 = 20.0;
@@ -23,13 +23,13 @@
     Balancer,
     /// `loftdrift agent`
     Agent,
-    /// `loftdrift-standin fabric`
+    /// `loftdrift-standin fabric`: sends the packets of callers to balancers in tests and demos.
     Fabric,
-    /// `loftdrift-standin platform`
+    /// `loftdrift-standin platform`: key-value store and machine list.
     Platform,
-    /// `loftdrift-standin backend`
+    /// `loftdrift-standin backend`: HTTP server of one back end.
     Backend,
-    /// `loftdrift-standin callers`
+    /// `loftdrift-standin callers`: HTTP clients that check every answer.
     Callers,
 }
 
@@ -91,7 +91,7 @@
     pub flow_buffer_bytes: usize,
     /// Whether TCP timestamps carry a cookie that identifies the back end.
     pub cookies: bool,
-    /// How long a flow must stay unknown before its packets are answered with a reset.
+    /// How long a flow must be unknown to the agents before its packets are answered with a reset.
     pub unknown_grace: Duration,
     /// A UDP flow ends after this time without packets.
     pub udp_idle: Duration,
@@ -310,8 +310,7 @@
     let platform = reader.address("platform");
     let zone = reader.zone();
     let drain_timeout = reader.seconds("drain_seconds", DEFAULT_AGENT_DRAIN_SECONDS);
-    let buffer =
-        reader.count("flow_buffer_bytes", MIN_FLOW_BUFFER_BYTES, DEFAULT_FLOW_BUFFER_BYTES);
+    let buffer = reader.count("flow_buffer_bytes", MIN_BUFFER_BYTES, DEFAULT_BUFFER_BYTES);
     let cookies = reader.switch("cookies", true);
     let unknown_grace = reader.seconds("unknown_grace_seconds", DEFAULT_UNKNOWN_GRACE_SECONDS);
     let udp_idle = reader.seconds("udp_idle_seconds", DEFAULT_UDP_IDLE_SECONDS);
@@ -346,11 +345,7 @@
         inner.finish();
         if let Some(listener) = listener {
             let span = table.get("listen").and_then(Item::span);
-            reader.add_listener(
-                "listeners.listen",
-                listener.listen,
-                span.map_or(0, |span| span.start),
-            );
+            reader.reserve("listeners.listen", listener.listen, span.map_or(0, |span| span.start));
             listeners.push(listener);
         }
     }
