--- a/crates/configuration/src/commit.rs
+++ b/crates/configuration/src/commit.rs
@@ -13,8 +13,8 @@
 use crate::model::{Configuration, Version};
 use crate::store::{StoreCondition, StoreReply, StoreRequest};
 
-/// How often a command reads the store before it gives up with [`CommitOutcome::Unknown`] or
-/// [`CommitOutcome::Unreachable`].
+/// Maximum number of times that a command reads the store. After that it ends with
+/// [`CommitOutcome::Unknown`] or [`CommitOutcome::Unreachable`].
 pub const MAX_COMMIT_ATTEMPTS: u32 = 12;
 
 /// What the caller of [`Commit`] must do next.
--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -275,8 +275,8 @@
             let service = parts.next()?.as_str().to_owned();
             let site = if parts.next()?.as_str() == "right" { Site::Right } else { Site::Left };
             let percent = read_percent(findings, parts.next()?)?;
-            let over = parts.next().and_then(|option| option.into_inner().next());
-            let duration_seconds = match over {
+            let over_option = parts.next().and_then(|option| option.into_inner().next());
+            let duration_seconds = match over_option {
                 Some(duration) => read_duration(findings, duration)?,
                 None => 0,
             };
--- a/crates/configuration/tests/commit.rs
+++ b/crates/configuration/tests/commit.rs
@@ -82,7 +82,7 @@
     }
 }
 
-fn prepared() -> Store {
+fn store_with_service() -> Store {
     let mut store = Store::default();
     let outcome = run(&mut store, "prepare", statements("create service tiles at 10.20.0.1:80"));
     assert!(matches!(outcome, CommitOutcome::Accepted(_)));
@@ -94,7 +94,7 @@
 #[test]
 fn concurrent_commands_with_lost_replies_report_their_real_outcome() {
     check_fixed_seeds(|input| {
-        let mut store = prepared();
+        let mut store = store_with_service();
         let mut commits: Vec<(String, Commit, CommitAction)> = Vec::new();
         for (name, port) in [("a", 9_001), ("b", 9_002), ("c", 9_001)] {
             let mut commit = Commit::new(format!("command-{name}"), attach(name, port));
@@ -146,7 +146,7 @@
 
 #[test]
 fn a_repeat_under_the_same_id_takes_effect_once() {
-    let mut store = prepared();
+    let mut store = store_with_service();
     let first = run(&mut store, "same", attach("a", 9_001));
     let again = run(&mut store, "same", attach("a", 9_001));
     assert_eq!(first, again);
@@ -155,7 +155,7 @@
 
 #[test]
 fn a_change_of_the_same_service_meanwhile_is_a_conflict_that_names_it() {
-    let mut store = prepared();
+    let mut store = store_with_service();
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let CommitAction::Send(read) = commit.start() else { panic!("no request") };
     let CommitAction::Send(write) = commit.step(store.execute(&read)) else { panic!("no write") };
@@ -170,7 +170,7 @@
 
 #[test]
 fn a_change_of_another_service_meanwhile_is_no_conflict() {
-    let mut store = prepared();
+    let mut store = store_with_service();
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let CommitAction::Send(read) = commit.start() else { panic!("no request") };
     let mut action = commit.step(store.execute(&read));
@@ -189,7 +189,7 @@
         action = commit.step(StoreReply::Lost);
     }
     assert_eq!(action, CommitAction::Done(CommitOutcome::Unreachable));
-    let mut store = prepared();
+    let mut store = store_with_service();
     let mut commit = Commit::new("mine".to_owned(), attach("a", 9_001));
     let CommitAction::Send(read) = commit.start() else { panic!("no request") };
     let mut action = commit.step(store.execute(&read));
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -62,7 +62,7 @@
 /// environment variable `RUST_LOG` overrides it. Only the first call in a process takes effect.
 pub fn install(identity: Identity, output: impl Write + Send + 'static) -> LogGuard {
     let queue = LineQueue::start(QueueSettings::default(), output);
-    // Later calls keep the first queue, as it is the only one to which the logger writes.
+    // `lines_dropped` counts for the first queue only, as only the first logger takes effect.
     let _ = INSTALLED.set(queue.clone());
     let started = Instant::now();
     let limits = Mutex::new(RateLimits::new(Rates::default()));
