--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -27,7 +27,7 @@
     /// Socket for GENEVE.
     pub socket: UdpSocket,
     /// How long to forward after a request to stop.
-    pub drain: Duration,
+    pub drain_duration: Duration,
     /// Most probes to agents in one second.
     pub probes_per_second: u32,
     /// The configuration, as it changes.
@@ -55,7 +55,7 @@
         started: Instant::now(),
         buffer: vec![0; HEADROOM_BYTES + MAX_DATAGRAM_BYTES],
     };
-    shell.run(task.drain, task.configuration, task.stop, task.counters).await;
+    shell.run(task.drain_duration, task.configuration, task.stop, task.counters).await;
     Ok(())
 }
 
@@ -70,7 +70,7 @@
 impl Shell {
     async fn run(
         mut self,
-        drain: Duration,
+        drain_duration: Duration,
         mut configuration: watch::Receiver<Option<Arc<Configuration>>>,
         mut stop: mpsc::Receiver<()>,
         counters: watch::Sender<PublishedSet>,
@@ -92,7 +92,7 @@
                 Some(()) = stop.recv() => {
                     self.lifecycle.step(ProcessEvent::StopRequested);
                     self.core.start_draining();
-                    drained_at = Some(Instant::now() + drain);
+                    drained_at = Some(Instant::now() + drain_duration);
                 }
                 () = sleep_until(drained_at) => {
                     self.lifecycle.step(ProcessEvent::Drained);
--- a/crates/app/src/bin/loftdrift-standin.rs
+++ b/crates/app/src/bin/loftdrift-standin.rs
@@ -1,6 +1,8 @@
 //! The program `loftdrift-standin`: fabric, platform, back ends and callers for tests.
 
-use loftdrift::command_line::{exit_code, read_settings, refuse_rest, start_logging, usage};
+use loftdrift::command_line::{
+    exit_code, read_settings, reject_unused_arguments, start_logging, usage_error,
+};
 use loftdrift::standins;
 use loftdrift_settings::{Role, Settings};
 use std::process::ExitCode;
@@ -31,7 +33,7 @@
         println!("loftdrift-standin {}", env!("CARGO_PKG_VERSION"));
         return Ok(ExitCode::SUCCESS);
     }
-    let command = arguments.subcommand().map_err(usage)?;
+    let command = arguments.subcommand().map_err(usage_error)?;
     if arguments.contains("--help") || command.is_none() {
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
@@ -43,7 +45,7 @@
         Some("callers") => Role::Callers,
         _ => {
             let word = command.unwrap_or_default();
-            return refuse_rest(pico_args::Arguments::from_vec(vec![word.into()]))
+            return reject_unused_arguments(pico_args::Arguments::from_vec(vec![word.into()]))
                 .map(|()| ExitCode::SUCCESS);
         }
     };
--- a/crates/app/src/bin/loftdrift.rs
+++ b/crates/app/src/bin/loftdrift.rs
@@ -2,7 +2,8 @@
 
 use anyhow::Result;
 use loftdrift::command_line::{
-    UsageError, exit_code, read_settings, refuse_rest, start_logging, start_quiet_logging, usage,
+    UsageError, exit_code, read_settings, reject_unused_arguments, start_logging,
+    start_quiet_logging, usage_error,
 };
 use loftdrift::ctl::{self, Call, Format};
 use loftdrift::demo::{self, DemoSettings};
@@ -46,7 +47,7 @@
         println!("loftdrift {}", env!("CARGO_PKG_VERSION"));
         return Ok(ExitCode::SUCCESS);
     }
-    let command = arguments.subcommand().map_err(usage)?;
+    let command = arguments.subcommand().map_err(usage_error)?;
     if arguments.contains("--help") || command.is_none() {
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
@@ -82,8 +83,8 @@
 
 async fn run_ctl(mut arguments: Arguments) -> Result<ExitCode> {
     start_quiet_logging();
-    let platform: SocketAddr = arguments.value_from_str("--platform").map_err(usage)?;
-    let file: Option<String> = arguments.opt_value_from_str("--file").map_err(usage)?;
+    let platform: SocketAddr = arguments.value_from_str("--platform").map_err(usage_error)?;
+    let file: Option<String> = arguments.opt_value_from_str("--file").map_err(usage_error)?;
     let format = read_format(&mut arguments)?;
     let dry_run = arguments.contains("--dry-run");
     let words: Vec<String> =
@@ -122,11 +123,11 @@
 
 async fn run_demo(mut arguments: Arguments) -> Result<ExitCode> {
     start_quiet_logging();
-    let seconds: Option<u64> = arguments.opt_value_from_str("--seconds").map_err(usage)?;
-    let seed: Option<u64> = arguments.opt_value_from_str("--seed").map_err(usage)?;
-    let listen = arguments.opt_value_from_str("--listen").map_err(usage)?;
+    let seconds: Option<u64> = arguments.opt_value_from_str("--seconds").map_err(usage_error)?;
+    let seed: Option<u64> = arguments.opt_value_from_str("--seed").map_err(usage_error)?;
+    let listen = arguments.opt_value_from_str("--listen").map_err(usage_error)?;
     let format = read_format(&mut arguments)?;
-    refuse_rest(arguments)?;
+    reject_unused_arguments(arguments)?;
     let seconds = seconds.unwrap_or(demo::DEFAULT_SECONDS);
     if seconds < demo::FEWEST_SECONDS {
         let least = demo::FEWEST_SECONDS;
@@ -142,7 +143,7 @@
 }
 
 fn read_format(arguments: &mut Arguments) -> Result<Format> {
-    let format: Option<String> = arguments.opt_value_from_str("--format").map_err(usage)?;
+    let format: Option<String> = arguments.opt_value_from_str("--format").map_err(usage_error)?;
     match format.as_deref() {
         None | Some("table") => Ok(Format::Table),
         Some("json") => Ok(Format::Json),
--- a/crates/app/src/command_line.rs
+++ b/crates/app/src/command_line.rs
@@ -38,7 +38,7 @@
 
 /// The settings of a process: `--config FILE`, overridden by `--SETTING VALUE` flags.
 pub fn read_settings(role: Role, mut arguments: pico_args::Arguments) -> Result<Settings> {
-    let file: Option<String> = arguments.opt_value_from_str("--config").map_err(usage)?;
+    let file: Option<String> = arguments.opt_value_from_str("--config").map_err(usage_error)?;
     let overrides = overrides(arguments.finish())?;
     let (name, text) = match file {
         Some(file) => {
@@ -73,12 +73,12 @@
 }
 
 /// An argument that could not be read, as a usage error.
-pub fn usage(error: pico_args::Error) -> anyhow::Error {
+pub fn usage_error(error: pico_args::Error) -> anyhow::Error {
     UsageError(error.to_string()).into()
 }
 
 /// Refuses words that were not understood.
-pub fn refuse_rest(arguments: pico_args::Arguments) -> Result<()> {
+pub fn reject_unused_arguments(arguments: pico_args::Arguments) -> Result<()> {
     let rest = arguments.finish();
     match rest.first() {
         None => Ok(()),
--- a/crates/app/src/demo/world.rs
+++ b/crates/app/src/demo/world.rs
@@ -274,7 +274,7 @@
         let (configuration, follower) = self.follow();
         let task = BalancerTask {
             socket,
-            drain: BALANCER_DRAIN,
+            drain_duration: BALANCER_DRAIN,
             probes_per_second: PROBES_PER_SECOND,
             configuration,
             stop: stop_requests,
--- a/crates/app/src/metrics.rs
+++ b/crates/app/src/metrics.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 use loftdrift_counters::{CounterSet, PublishedSet, render, summary};
-use loftdrift_http::text_answer;
+use loftdrift_http::text_response;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -32,8 +32,8 @@
 pub async fn serve(listener: TcpListener, counters: watch::Receiver<PublishedSet>) {
     loftdrift_http::serve(listener, move |request| {
         let answer = match request.uri().path() {
-            "/metrics" => text_answer(StatusCode::OK, render(&[counters.borrow().clone()])),
-            _ => text_answer(StatusCode::NOT_FOUND, "metrics are at /metrics"),
+            "/metrics" => text_response(StatusCode::OK, render(&[counters.borrow().clone()])),
+            _ => text_response(StatusCode::NOT_FOUND, "metrics are at /metrics"),
         };
         std::future::ready(Some(answer))
     })
--- a/crates/app/src/process.rs
+++ b/crates/app/src/process.rs
@@ -56,7 +56,7 @@
     let _background = surroundings.background;
     balancer_process::run(BalancerTask {
         socket: surroundings.socket,
-        drain: settings.drain,
+        drain_duration: settings.drain,
         probes_per_second: settings.probes_per_second,
         configuration: surroundings.configuration,
         stop,
--- a/crates/bench/benches/forwarding.rs
+++ b/crates/bench/benches/forwarding.rs
@@ -59,7 +59,7 @@
     let (stop_sender, stop) = mpsc::channel(1);
     let task = BalancerTask {
         socket,
-        drain: Duration::ZERO,
+        drain_duration: Duration::ZERO,
         probes_per_second: 1,
         configuration: followed,
         stop,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -60,7 +60,7 @@
 
 /// A whole JSON answer with its headers.
 #[derive(Clone, Debug)]
-pub struct Reply<A> {
+pub struct JsonResponse<A> {
     /// The headers.
     pub headers: HeaderMap,
     /// The body's value.
@@ -85,13 +85,13 @@
 
     /// The same with a connection of its own for each request: one that was kept may have gone silent,
     /// which only the whole timeout would show.
-    pub fn with_fresh_connections(server: SocketAddr, timeout: Duration) -> Self {
+    pub fn without_connection_reuse(server: SocketAddr, timeout: Duration) -> Self {
         let client = Client::builder(TokioExecutor::new()).pool_max_idle_per_host(0).build_http();
         HttpClient { server, timeout, client, bytes: Arc::default() }
     }
 
     /// Bytes of the bodies sent and received so far.
-    pub fn bytes(&self) -> u64 {
+    pub fn transferred_bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
 
@@ -102,16 +102,16 @@
         path: &str,
         body: &Q,
     ) -> Result<A, HttpError> {
-        Ok(self.send_json_for_reply(method, path, body).await?.body)
+        Ok(self.send_json_for_response(method, path, body).await?.body)
     }
 
     /// The same, with the answer's headers.
-    pub async fn send_json_for_reply<Q: Serialize, A: DeserializeOwned>(
+    pub async fn send_json_for_response<Q: Serialize, A: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
         body: &Q,
-    ) -> Result<Reply<A>, HttpError> {
+    ) -> Result<JsonResponse<A>, HttpError> {
         let body = serde_json::to_vec(body).map_err(|error| self.malformed(error))?;
         self.send_bytes(method, path, Bytes::from(body), self.timeout).await
     }
@@ -122,7 +122,7 @@
         target: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<Reply<A>, HttpError> {
+    ) -> Result<JsonResponse<A>, HttpError> {
         let whole = async {
             let response = self.send_body(method, target, body).await?;
             let (head, body) = response.into_parts();
@@ -133,28 +133,28 @@
         let (headers, bytes) = answer.map_err(|_| self.timeout_error(timeout))??;
         self.count(bytes.len());
         let body = serde_json::from_slice(&bytes).map_err(|error| self.malformed(error))?;
-        Ok(Reply { headers, body })
+        Ok(JsonResponse { headers, body })
     }
 
     /// Reads the whole JSON answer to a request without a body.
     pub async fn get_json<A: DeserializeOwned>(&self, target: &str) -> Result<A, HttpError> {
-        Ok(self.get_reply_within(target, self.timeout).await?.body)
+        Ok(self.get_json_response_within(target, self.timeout).await?.body)
     }
 
     /// The same, with the answer's headers.
-    pub async fn get_reply<A: DeserializeOwned>(
+    pub async fn get_json_response<A: DeserializeOwned>(
         &self,
         target: &str,
-    ) -> Result<Reply<A>, HttpError> {
-        self.get_reply_within(target, self.timeout).await
+    ) -> Result<JsonResponse<A>, HttpError> {
+        self.get_json_response_within(target, self.timeout).await
     }
 
     /// The same for an answer that may take another time than this client's other ones.
-    pub async fn get_reply_within<A: DeserializeOwned>(
+    pub async fn get_json_response_within<A: DeserializeOwned>(
         &self,
         target: &str,
         timeout: Duration,
-    ) -> Result<Reply<A>, HttpError> {
+    ) -> Result<JsonResponse<A>, HttpError> {
         self.send_bytes(Method::GET, target, Bytes::new(), timeout).await
     }
 
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -3,5 +3,5 @@
 mod client;
 mod server;
 
-pub use client::{HttpClient, HttpError, LineStream, Reply};
-pub use server::{Answer, AnswerBody, full_body, json_answer, serve, text_answer};
+pub use client::{HttpClient, HttpError, JsonResponse, LineStream};
+pub use server::{HttpResponse, ResponseBody, full_body, json_response, serve, text_response};
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -14,15 +14,15 @@
 
 /// An answer's body; an error while it streams cuts the connection, so that the caller sees that
 /// the answer is not whole.
-pub type AnswerBody = BoxBody<Bytes, std::io::Error>;
+pub type ResponseBody = BoxBody<Bytes, std::io::Error>;
 /// An answer; `None` in its place cuts the connection without one.
-pub type Answer = Response<AnswerBody>;
+pub type HttpResponse = Response<ResponseBody>;
 
 /// Serves a listener until the task is dropped. A handler that returns `None` cuts the connection.
 pub async fn serve<H, F>(listener: TcpListener, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
-    F: Future<Output = Option<Answer>> + Send + 'static,
+    F: Future<Output = Option<HttpResponse>> + Send + 'static,
 {
     loop {
         // An error concerns one connection that never was, or too many open files: go on.
@@ -53,12 +53,12 @@
 struct CutConnection;
 
 /// A body that is whole.
-pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
+pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
     Full::new(bytes.into()).map_err(|never: Infallible| match never {}).boxed()
 }
 
 /// A JSON answer.
-pub fn json_answer<T: Serialize>(status: StatusCode, value: &T) -> Answer {
+pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     // The answers are plain data with string keys, which always serialize.
     let body = serde_json::to_vec(value).unwrap_or_default();
     let mut answer = Response::new(full_body(body));
@@ -69,7 +69,7 @@
 }
 
 /// A plain text answer.
-pub fn text_answer(status: StatusCode, text: impl Into<Bytes>) -> Answer {
+pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
     let mut answer = Response::new(full_body(text));
     *answer.status_mut() = status;
     answer
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -4,7 +4,7 @@
 use crate::counted_store::StoreMeter;
 use hyper::StatusCode;
 use loftdrift_counters::{CounterSet, PublishedSet, counter_set, render};
-use loftdrift_http::text_answer;
+use loftdrift_http::text_response;
 use std::net::SocketAddrV4;
 use tokio::net::TcpListener;
 use tokio::sync::{mpsc, oneshot};
@@ -44,10 +44,10 @@
             let is_here = request.uri().path() == PATH;
             async move {
                 if !is_here {
-                    return Some(text_answer(StatusCode::NOT_FOUND, ""));
+                    return Some(text_response(StatusCode::NOT_FOUND, ""));
                 }
                 let page = page(role, &commands, &store).await?;
-                Some(text_answer(StatusCode::OK, page))
+                Some(text_response(StatusCode::OK, page))
             }
         })
         .await;
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -25,7 +25,7 @@
     CarriedAgent, CarriedAgentSettings, CarriedBalancer, CarriedBalancerSettings, InputAge,
     NodeRole, ReportOutcome, SegmentFormat,
 };
-use loftdrift_http::{Answer, text_answer};
+use loftdrift_http::{HttpResponse, text_response};
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -259,19 +259,19 @@
     interface: I,
     commands: mpsc::Sender<Command>,
     is_ready: bool,
-) -> Answer {
+) -> HttpResponse {
     let (head, body) = request.into_parts();
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
-        return text_answer(StatusCode::PAYLOAD_TOO_LARGE, "");
+        return text_response(StatusCode::PAYLOAD_TOO_LARGE, "");
     };
     let body = body.to_bytes();
     let method = head.method.as_str();
     match interface.read(Request { method, path: head.uri.path(), body: &body }) {
-        RequestKind::Readiness if is_ready => text_answer(StatusCode::OK, ""),
-        RequestKind::Readiness => text_answer(StatusCode::SERVICE_UNAVAILABLE, ""),
+        RequestKind::Readiness if is_ready => text_response(StatusCode::OK, ""),
+        RequestKind::Readiness => text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
         RequestKind::Report(report) => {
             match tell(&commands, |done| Command::Report(report, done)).await {
-                Some(ReportOutcome::Foreign) => text_answer(StatusCode::CONFLICT, ""),
+                Some(ReportOutcome::Foreign) => text_response(StatusCode::CONFLICT, ""),
                 outcome => acknowledge(outcome.map(|_| ())),
             }
         }
@@ -282,9 +282,9 @@
             log::warn!(reason = reason.as_str(), path = head.uri.path(); "request_malformed");
             // Only counted: where the queue is full the answer does not wait for it.
             let _ = commands.try_send(Command::Unreadable);
-            text_answer(StatusCode::BAD_REQUEST, reason)
+            text_response(StatusCode::BAD_REQUEST, reason)
         }
-        RequestKind::Unknown => text_answer(StatusCode::NOT_FOUND, ""),
+        RequestKind::Unknown => text_response(StatusCode::NOT_FOUND, ""),
     }
 }
 
@@ -302,11 +302,11 @@
 }
 
 /// Answers a back end whose word the core has taken, or has not taken in time.
-fn acknowledge(taken: Option<()>) -> Answer {
+fn acknowledge(taken: Option<()>) -> HttpResponse {
     if taken.is_none() {
-        return text_answer(StatusCode::SERVICE_UNAVAILABLE, "");
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "");
     }
-    let mut answer = text_answer(StatusCode::OK, "{}");
+    let mut answer = text_response(StatusCode::OK, "{}");
     let json = hyper::header::HeaderValue::from_static("application/json");
     answer.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
     answer
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -15,7 +15,7 @@
 use hyper::body::{Frame, Incoming};
 use hyper::header::{HeaderName, HeaderValue, RETRY_AFTER};
 use hyper::{Method, Request, Response, StatusCode};
-use loftdrift_http::{Answer, json_answer, text_answer};
+use loftdrift_http::{HttpResponse, json_response, text_response};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -136,17 +136,17 @@
 }
 
 impl Backend {
-    async fn handle(self, request: Request<Incoming>) -> Answer {
+    async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
         let mut answer = match (request.method(), path.as_str()) {
             (&Method::GET, "/standin/executions") => self.executions().await,
             (&Method::GET, "/load") => {
                 let load = self.shown_load.load(Ordering::Relaxed);
-                text_answer(StatusCode::OK, load.to_string())
+                text_response(StatusCode::OK, load.to_string())
             }
             (&Method::GET, path) if path.starts_with("/bytes/") => self.bytes(&request, path).await,
             (&Method::POST, "/submit") => self.submit(request).await,
-            _ => text_answer(StatusCode::NOT_FOUND, "no such path"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such path"),
         };
         let headers = answer.headers_mut();
         for (name, value) in
@@ -159,17 +159,17 @@
         answer
     }
 
-    async fn executions(&self) -> Answer {
+    async fn executions(&self) -> HttpResponse {
         let (reply, listed) = oneshot::channel();
         // The record lives as long as the server.
         let _ = self.record.send(RecordMessage::List(reply)).await;
-        json_answer(StatusCode::OK, &listed.await.unwrap_or_default())
+        json_response(StatusCode::OK, &listed.await.unwrap_or_default())
     }
 
-    async fn bytes(&self, request: &Request<Incoming>, path: &str) -> Answer {
+    async fn bytes(&self, request: &Request<Incoming>, path: &str) -> HttpResponse {
         let size = path.trim_start_matches("/bytes/").parse::<u64>();
         let Some(size) = size.ok().filter(|size| *size <= MAX_CONTENT_BYTES) else {
-            return text_answer(StatusCode::BAD_REQUEST, "expected /bytes/SIZE?seed=N");
+            return text_response(StatusCode::BAD_REQUEST, "expected /bytes/SIZE?seed=N");
         };
         let query = request.uri().query().unwrap_or_default();
         let seed = query.strip_prefix("seed=").and_then(|seed| seed.parse().ok()).unwrap_or(0);
@@ -183,7 +183,7 @@
         answer
     }
 
-    async fn submit(&self, request: Request<Incoming>) -> Answer {
+    async fn submit(&self, request: Request<Incoming>) -> HttpResponse {
         let Some(_presence) = self.enter() else {
             return self.refuse();
         };
@@ -192,7 +192,7 @@
         // A body that does not arrive whole has no caller left to answer.
         let _ = request.into_body().collect().await;
         let id = id.unwrap_or(HeaderValue::from_static(""));
-        text_answer(StatusCode::OK, Bytes::copy_from_slice(id.as_bytes()))
+        text_response(StatusCode::OK, Bytes::copy_from_slice(id.as_bytes()))
     }
 
     /// Lets a request in unless the queue is full.
@@ -203,8 +203,9 @@
         (before < most).then_some(presence)
     }
 
-    fn refuse(&self) -> Answer {
-        let mut answer = text_answer(StatusCode::SERVICE_UNAVAILABLE, "the queue is full; not run");
+    fn refuse(&self) -> HttpResponse {
+        let mut answer =
+            text_response(StatusCode::SERVICE_UNAVAILABLE, "the queue is full; not run");
         answer.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_SECONDS);
         answer
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -8,7 +8,7 @@
 use http_body_util::{BodyExt, Limited, StreamBody};
 use hyper::body::{Frame, Incoming};
 use hyper::{Method, Request, Response, StatusCode};
-use loftdrift_http::{Answer, AnswerBody, json_answer, text_answer};
+use loftdrift_http::{HttpResponse, ResponseBody, json_response, text_response};
 use loftdrift_store::etcd::{self, WatchCreateRequest, WatchLine, WatchRequest, WatchResponse};
 use loftdrift_store::{Machine, MachineList};
 use serde::de::DeserializeOwned;
@@ -232,23 +232,26 @@
     }
 }
 
-async fn handle(request: Request<Incoming>, platform: mpsc::Sender<Message>) -> Option<Answer> {
+async fn handle(
+    request: Request<Incoming>,
+    platform: mpsc::Sender<Message>,
+) -> Option<HttpResponse> {
     let path = request.uri().path().to_owned();
     if path == "/standin/faults" {
         return handle_faults(request, &platform).await;
     }
     if path == "/standin/watchers" {
-        return Some(json_answer(StatusCode::OK, &ask(&platform, Message::Watchers).await?));
+        return Some(json_response(StatusCode::OK, &ask(&platform, Message::Watchers).await?));
     }
     let (admission, delay) = ask(&platform, Message::Admit).await?;
     tokio::time::sleep(delay).await;
     match admission {
         Admission::Serve => {}
         Admission::Unavailable => {
-            return Some(text_answer(StatusCode::SERVICE_UNAVAILABLE, "outage"));
+            return Some(text_response(StatusCode::SERVICE_UNAVAILABLE, "outage"));
         }
         Admission::TooMany => {
-            return Some(text_answer(StatusCode::TOO_MANY_REQUESTS, "rate limit"));
+            return Some(text_response(StatusCode::TOO_MANY_REQUESTS, "rate limit"));
         }
         Admission::Silent => std::future::pending::<()>().await,
     }
@@ -265,19 +268,19 @@
         (Method::POST, etcd::LEASE_REVOKE_PATH) => write(&platform, &body, Message::Revoke).await,
         (Method::POST, etcd::WATCH_PATH) => watch(&platform, &body).await,
         (Method::GET, "/machines") => {
-            Some(json_answer(StatusCode::OK, &ask(&platform, Message::Machines).await?))
+            Some(json_response(StatusCode::OK, &ask(&platform, Message::Machines).await?))
         }
         (Method::PUT, "/machines") => answer(&platform, &body, Message::PutMachine).await,
-        _ => Some(text_answer(StatusCode::NOT_FOUND, "no such path")),
+        _ => Some(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
 }
 
 async fn handle_faults(
     request: Request<Incoming>,
     platform: &mpsc::Sender<Message>,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     if request.method() != Method::PUT {
-        return Some(json_answer(StatusCode::OK, &ask(platform, Message::Faults).await?));
+        return Some(json_response(StatusCode::OK, &ask(platform, Message::Faults).await?));
     }
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
     answer(platform, &body, Message::SetFaults).await
@@ -297,13 +300,13 @@
     platform: &mpsc::Sender<Message>,
     body: &Bytes,
     message: impl FnOnce(Q, oneshot::Sender<A>) -> Message,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     let request = match serde_json::from_slice(body) {
         Ok(request) => request,
-        Err(error) => return Some(text_answer(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(error) => return Some(text_response(StatusCode::BAD_REQUEST, error.to_string())),
     };
     let answer = ask(platform, |reply| message(request, reply)).await?;
-    Some(json_answer(StatusCode::OK, &answer))
+    Some(json_response(StatusCode::OK, &answer))
 }
 
 /// Like [`answer`], but the answer may get lost after the effect.
@@ -311,23 +314,23 @@
     platform: &mpsc::Sender<Message>,
     body: &Bytes,
     message: impl FnOnce(Q, oneshot::Sender<A>) -> Message,
-) -> Option<Answer> {
+) -> Option<HttpResponse> {
     let answer = answer(platform, body, message).await?;
     let lost = ask(platform, Message::LoseAnswer).await?;
     (!lost).then_some(answer)
 }
 
-async fn watch(platform: &mpsc::Sender<Message>, body: &Bytes) -> Option<Answer> {
+async fn watch(platform: &mpsc::Sender<Message>, body: &Bytes) -> Option<HttpResponse> {
     let request: WatchRequest = match serde_json::from_slice(body) {
         Ok(request) => request,
-        Err(error) => return Some(text_answer(StatusCode::BAD_REQUEST, error.to_string())),
+        Err(error) => return Some(text_response(StatusCode::BAD_REQUEST, error.to_string())),
     };
     let (sender, responses) = mpsc::channel(WATCH_QUEUE);
     platform.send(Message::Watch(request.create_request, sender)).await.ok()?;
     Some(Response::new(stream_lines(responses)))
 }
 
-fn stream_lines(responses: mpsc::Receiver<WatchResponse>) -> AnswerBody {
+fn stream_lines(responses: mpsc::Receiver<WatchResponse>) -> ResponseBody {
     let lines = ReceiverLines { responses };
     http_body_util::BodyExt::boxed(StreamBody::new(lines))
 }
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -34,7 +34,7 @@
     }
 
     /// Connections that are open now carry nothing any more.
-    pub fn silence(&self) {
+    pub fn blackhole_connections(&self) {
         self.silences.send_modify(|count| *count += 1);
     }
 }
--- a/crates/standin/tests/silent_watch.rs
+++ b/crates/standin/tests/silent_watch.rs
@@ -45,7 +45,7 @@
     tokio::spawn(follow(StoreClient::new(relay.address), 1, published));
     known.changed().await.unwrap();
     wait_for_watch(address).await;
-    relay.silence();
+    relay.blackhole_connections();
     write(&operators, &revision(1), &revision(2)).await;
     let changed = tokio::time::timeout(BOUND, known.changed()).await;
     assert!(matches!(changed, Ok(Ok(()))), "{changed:?}");
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -33,12 +33,12 @@
 impl StoreClient {
     /// A client of the store at `server`.
     pub fn new(server: SocketAddr) -> Self {
-        StoreClient { http: HttpClient::with_fresh_connections(server, REQUEST_TIMEOUT) }
+        StoreClient { http: HttpClient::without_connection_reuse(server, REQUEST_TIMEOUT) }
     }
 
     /// Bytes sent to and received from the store so far.
     pub fn bytes(&self) -> u64 {
-        self.http.bytes()
+        self.http.transferred_bytes()
     }
 
     /// Carries out a core's request.
