--- a/crates/app/src/agent_process.rs
+++ b/crates/app/src/agent_process.rs
@@ -22,9 +22,9 @@
 use tokio::time::Instant;
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-const DATAGRAMS_A_TURN: usize = 64;
-const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
-const EVENT_QUEUE: usize = 4_096;
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const BACKEND_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
 
 /// What an agent's task works with.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
     /// Settings of the core.
     pub settings: AgentSettings,
     /// Longest wait for flows to end after a request to stop.
-    pub drain: Duration,
+    pub drain_timeout: Duration,
     /// The configuration, as it changes.
     pub configuration: watch::Receiver<Option<Arc<Configuration>>>,
     /// Requests to stop.
@@ -46,21 +46,21 @@
 /// Runs an agent until it is stopped.
 pub async fn run(task: AgentTask) -> Result<()> {
     let name = format!("agent {}", task.settings.backend);
-    let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
-    let (watch_sender, watch_reports) = mpsc::channel(1);
-    let shell = Shell {
+    let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let (watch_report_sender, watch_reports) = mpsc::channel(1);
+    let driver = AgentDriver {
         socket: task.socket,
         core: Agent::new(task.settings)?,
         lifecycle: Lifecycle::new(name, agent_chart()?),
         started: Instant::now(),
-        tasks: HashMap::new(),
+        flow_tasks: HashMap::new(),
         event_sender,
-        watch_sender,
+        watch_report_sender,
         watch: JoinSet::new(),
     };
-    shell
+    driver
         .run(
-            task.drain,
+            task.drain_timeout,
             Inputs { events, watch_reports },
             task.configuration,
             task.stop,
@@ -77,8 +77,8 @@
 }
 
 /// Holds an idle connection to the back end; reports when it is accepted and when it ends.
-async fn watch_backend(server: SocketAddrV4, reports: mpsc::Sender<bool>) {
-    let connected = tokio::time::timeout(WATCH_TIMEOUT, TcpStream::connect(server)).await;
+async fn hold_backend_connection(server: SocketAddrV4, reports: mpsc::Sender<bool>) {
+    let connected = tokio::time::timeout(BACKEND_CONNECT_TIMEOUT, TcpStream::connect(server)).await;
     if let Ok(Ok(mut stream)) = connected {
         if reports.send(true).await.is_err() {
             return;
@@ -91,22 +91,22 @@
     let _ = reports.send(false).await;
 }
 
-struct Shell {
+struct AgentDriver {
     socket: UdpSocket,
     core: Agent,
     lifecycle: Lifecycle,
     started: Instant,
-    tasks: HashMap<FlowId, CommandSender>,
+    flow_tasks: HashMap<FlowId, CommandSender>,
     event_sender: mpsc::Sender<FlowSocketEvent>,
-    watch_sender: mpsc::Sender<bool>,
+    watch_report_sender: mpsc::Sender<bool>,
     /// The one task that holds the watching connection.
     watch: JoinSet<()>,
 }
 
-impl Shell {
+impl AgentDriver {
     async fn run(
         mut self,
-        drain: Duration,
+        drain_timeout: Duration,
         mut inputs: Inputs,
         mut configuration: watch::Receiver<Option<Arc<Configuration>>>,
         mut stop: mpsc::Receiver<()>,
@@ -114,8 +114,8 @@
     ) {
         let mut publish_tick = tokio::time::interval(PUBLISH_INTERVAL);
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        let mut give_up_at = None;
-        self.adopt(&mut configuration);
+        let mut drain_deadline = None;
+        self.apply_configuration(&mut configuration);
         while self.lifecycle.state() != ProcessState::Stopped {
             let timeout = self.core.next_timeout().map(|deadline| self.started + deadline);
             tokio::select! {
@@ -132,19 +132,19 @@
                     self.core.handle_watch(self.started.elapsed(), accepts);
                 }
                 () = sleep_until(timeout) => self.core.handle_timeout(self.started.elapsed()),
-                Ok(()) = configuration.changed() => self.adopt(&mut configuration),
+                Ok(()) = configuration.changed() => self.apply_configuration(&mut configuration),
                 _ = publish_tick.tick() => metrics::publish(&counters, &self.core.counters),
                 Some(()) = stop.recv() => {
                     self.lifecycle.step(ProcessEvent::StopRequested);
                     self.core.start_draining();
-                    give_up_at = Some(Instant::now() + drain);
+                    drain_deadline = Some(Instant::now() + drain_timeout);
                 }
-                () = sleep_until(give_up_at) => {
+                () = sleep_until(drain_deadline) => {
                     log::warn!(flows = self.core.flow_count(); "stopping with flows left");
                     self.lifecycle.step(ProcessEvent::Drained);
                 }
             }
-            self.carry_out().await;
+            self.execute_outputs().await;
             if self.lifecycle.state() == ProcessState::Draining && self.core.flow_count() == 0 {
                 self.lifecycle.step(ProcessEvent::Drained);
             }
@@ -152,7 +152,10 @@
         metrics::publish(&counters, &self.core.counters);
     }
 
-    fn adopt(&mut self, configuration: &mut watch::Receiver<Option<Arc<Configuration>>>) {
+    fn apply_configuration(
+        &mut self,
+        configuration: &mut watch::Receiver<Option<Arc<Configuration>>>,
+    ) {
         // Marks it as seen, so that one published before the first call is not adopted twice.
         let newest = configuration.borrow_and_update().clone();
         let Some(newest) = newest else { return };
@@ -165,7 +168,7 @@
     }
 
     fn receive(&mut self, buffer: &mut [u8]) {
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             let Ok((length, SocketAddr::V4(from))) = self.socket.try_recv_from(buffer) else {
                 return;
             };
@@ -173,7 +176,7 @@
         }
     }
 
-    async fn carry_out(&mut self) {
+    async fn execute_outputs(&mut self) {
         while let Some(output) = self.core.take_output() {
             match output {
                 Output::Transmit { to, datagram } => {
@@ -187,20 +190,21 @@
                         Transport::Udp => SocketSource::DialUdp(server),
                     };
                     let events = self.event_sender.clone();
-                    self.tasks.insert(flow, loftdrift_splice::spawn(flow, source, events));
+                    self.flow_tasks.insert(flow, loftdrift_splice::spawn(flow, source, events));
                 }
                 Output::Socket { flow, command } => {
-                    if let Some(task) = self.tasks.get(&flow) {
+                    if let Some(task) = self.flow_tasks.get(&flow) {
                         // A task that has ended has reported so itself.
                         let _ = task.send(command);
                     }
                 }
                 Output::WatchBackend { server } => {
                     self.watch.abort_all();
-                    self.watch.spawn(watch_backend(server, self.watch_sender.clone()));
+                    self.watch
+                        .spawn(hold_backend_connection(server, self.watch_report_sender.clone()));
                 }
                 Output::Ended { flow } => {
-                    self.tasks.remove(&flow);
+                    self.flow_tasks.remove(&flow);
                 }
             }
         }
--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -15,11 +15,11 @@
 use tokio::time::Instant;
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-const DATAGRAMS_A_TURN: usize = 64;
-const PROBE_TICK: Duration = Duration::from_millis(100);
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const PROBE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-const PROBE_MISSES: u32 = 3;
+const MAX_PROBE_MISSES: u32 = 3;
 
 /// What a balancer's task works with.
 #[derive(Debug)]
@@ -42,24 +42,24 @@
 pub async fn run(task: BalancerTask) -> Result<()> {
     let address = task.socket.local_addr()?;
     let lifecycle = Lifecycle::new(format!("balancer {address}"), balancer_chart()?);
-    let probing = ProbeSettings {
+    let probe_settings = ProbeSettings {
         interval: PROBE_INTERVAL,
         timeout: PROBE_TIMEOUT,
-        misses: PROBE_MISSES,
+        misses: MAX_PROBE_MISSES,
         most_per_second: task.probes_per_second,
     };
-    let shell = Shell {
+    let driver = BalancerDriver {
         socket: task.socket,
-        core: Balancer::new(probing),
+        core: Balancer::new(probe_settings),
         lifecycle,
         started: Instant::now(),
         buffer: vec![0; HEADROOM_BYTES + MAX_DATAGRAM_BYTES],
     };
-    shell.run(task.drain_duration, task.configuration, task.stop, task.counters).await;
+    driver.run(task.drain_duration, task.configuration, task.stop, task.counters).await;
     Ok(())
 }
 
-struct Shell {
+struct BalancerDriver {
     socket: UdpSocket,
     core: Balancer,
     lifecycle: Lifecycle,
@@ -67,7 +67,7 @@
     buffer: Vec<u8>,
 }
 
-impl Shell {
+impl BalancerDriver {
     async fn run(
         mut self,
         drain_duration: Duration,
@@ -75,10 +75,10 @@
         mut stop: mpsc::Receiver<()>,
         counters: watch::Sender<PublishedSet>,
     ) {
-        let mut probe_tick = tokio::time::interval(PROBE_TICK);
+        let mut probe_tick = tokio::time::interval(PROBE_TICK_INTERVAL);
         let mut publish_tick = tokio::time::interval(PUBLISH_INTERVAL);
-        let mut drained_at = None;
-        self.adopt(&mut configuration);
+        let mut drain_ends_at = None;
+        self.apply_configuration(&mut configuration);
         while self.lifecycle.state() != ProcessState::Stopped {
             tokio::select! {
                 readable = self.socket.readable() => {
@@ -86,15 +86,15 @@
                         self.receive().await;
                     }
                 }
-                Ok(()) = configuration.changed() => self.adopt(&mut configuration),
+                Ok(()) = configuration.changed() => self.apply_configuration(&mut configuration),
                 _ = probe_tick.tick() => self.probe().await,
                 _ = publish_tick.tick() => metrics::publish(&counters, &self.core.counters),
                 Some(()) = stop.recv() => {
                     self.lifecycle.step(ProcessEvent::StopRequested);
                     self.core.start_draining();
-                    drained_at = Some(Instant::now() + drain_duration);
+                    drain_ends_at = Some(Instant::now() + drain_duration);
                 }
-                () = sleep_until(drained_at) => {
+                () = sleep_until(drain_ends_at) => {
                     self.lifecycle.step(ProcessEvent::Drained);
                 }
             }
@@ -102,7 +102,10 @@
         metrics::publish(&counters, &self.core.counters);
     }
 
-    fn adopt(&mut self, configuration: &mut watch::Receiver<Option<Arc<Configuration>>>) {
+    fn apply_configuration(
+        &mut self,
+        configuration: &mut watch::Receiver<Option<Arc<Configuration>>>,
+    ) {
         // Marks it as seen, so that one published before the first call is not adopted twice.
         let newest = configuration.borrow_and_update().clone();
         let Some(newest) = newest else { return };
@@ -114,7 +117,7 @@
     }
 
     async fn receive(&mut self) {
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             let space = &mut self.buffer[HEADROOM_BYTES..];
             let Ok((length, SocketAddr::V4(from))) = self.socket.try_recv_from(space) else {
                 return;
--- a/crates/app/src/bin/loftdrift.rs
+++ b/crates/app/src/bin/loftdrift.rs
@@ -5,7 +5,7 @@
     UsageError, exit_code, read_settings, reject_unused_arguments, start_logging,
     start_quiet_logging, usage_error,
 };
-use loftdrift::ctl::{self, Call, Format};
+use loftdrift::ctl::{self, Format, Invocation};
 use loftdrift::demo::{self, DemoSettings};
 use loftdrift::{check, process, signals};
 use loftdrift_settings::{Role, Settings};
@@ -93,7 +93,7 @@
     if let [first, command] = words.as_slice()
         && first == "outcome"
     {
-        return ctl::show_past_outcome(&store, command).await;
+        return ctl::print_past_outcome(&store, command).await;
     }
     let (name, script) = match file {
         Some(_) if !words.is_empty() => {
@@ -109,7 +109,7 @@
         }
         None => ("statement".to_owned(), words.join(" ")),
     };
-    ctl::run(&store, &Call { name, script, dry_run, format }).await
+    ctl::run(&store, &Invocation { name, script, dry_run, format }).await
 }
 
 fn run_check(arguments: Arguments) -> Result<ExitCode> {
@@ -128,10 +128,10 @@
     let listen = arguments.opt_value_from_str("--listen").map_err(usage_error)?;
     let format = read_format(&mut arguments)?;
     reject_unused_arguments(arguments)?;
-    let seconds = seconds.unwrap_or(demo::DEFAULT_SECONDS);
-    if seconds < demo::FEWEST_SECONDS {
-        let least = demo::FEWEST_SECONDS;
-        return Err(UsageError(format!("--seconds must be at least {least}")).into());
+    let seconds = seconds.unwrap_or(demo::DEFAULT_DURATION_SECONDS);
+    if seconds < demo::MIN_DURATION_SECONDS {
+        let min_seconds = demo::MIN_DURATION_SECONDS;
+        return Err(UsageError(format!("--seconds must be at least {min_seconds}")).into());
     }
     let settings = DemoSettings {
         duration: Duration::from_secs(seconds),
--- a/crates/app/src/command_line.rs
+++ b/crates/app/src/command_line.rs
@@ -10,7 +10,7 @@
 /// Exit code: the command line or a settings file is wrong.
 pub const EXIT_USAGE: u8 = 2;
 /// Exit code: the outcome of a change is unknown.
-pub const EXIT_UNKNOWN: u8 = 3;
+pub const EXIT_OUTCOME_UNKNOWN: u8 = 3;
 
 /// A mistake in how a program was called, which exits with [`EXIT_USAGE`].
 #[derive(Debug)]
--- a/crates/app/src/ctl.rs
+++ b/crates/app/src/ctl.rs
@@ -1,6 +1,6 @@
 //! `loftdrift ctl`: operators' commands and queries.
 
-use crate::command_line::{EXIT_FAILED, EXIT_UNKNOWN};
+use crate::command_line::{EXIT_FAILED, EXIT_OUTCOME_UNKNOWN};
 use anyhow::{Context, Result};
 use loftdrift_charts::ChartNames;
 use loftdrift_configuration::{
@@ -14,8 +14,8 @@
 use std::process::ExitCode;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-const FIRST_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 /// How answers are printed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// A call of `ctl`.
 #[derive(Clone, Debug)]
-pub struct Call {
+pub struct Invocation {
     /// Name of the script in findings.
     pub name: String,
     /// The script.
@@ -40,26 +40,26 @@
 }
 
 /// Carries out a call.
-pub async fn run(store: &StoreClient, call: &Call) -> Result<ExitCode> {
-    let mut statements = match parse_script(&call.name, &call.script) {
+pub async fn run(store: &StoreClient, invocation: &Invocation) -> Result<ExitCode> {
+    let mut statements = match parse_script(&invocation.name, &invocation.script) {
         Ok(statements) => statements,
-        Err(findings) => return Ok(refuse_script(call, &findings)),
+        Err(findings) => return Ok(print_findings(invocation, &findings)),
     };
     let unix_now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     stamp(&mut statements, unix_now.as_secs());
     let changes = statements.iter().any(|one| !matches!(one.kind, StatementKind::Show(_)));
     let mut code = ExitCode::SUCCESS;
-    if changes && call.dry_run {
-        code = show_dry_run(store, call, &statements).await?;
+    if changes && invocation.dry_run {
+        code = print_dry_run(store, invocation, &statements).await?;
     } else if changes {
         let command = format!("{:032x}", rand::rng().random::<u128>());
         let outcome = commit(store, &command, statements.clone()).await;
-        code = show_outcome(call, &command, &outcome);
+        code = print_outcome(invocation, &command, &outcome);
     }
     for statement in &statements {
         if let StatementKind::Show(query) = statement.kind {
             let configuration = read(store).await?;
-            println!("{}", answer(&configuration, query, call.format));
+            println!("{}", query_result(&configuration, query, invocation.format));
         }
     }
     Ok(code)
@@ -72,7 +72,7 @@
     statements: Vec<Statement>,
 ) -> CommitOutcome {
     let mut commit = Commit::new(command.to_owned(), statements);
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     let mut action = commit.start();
     loop {
         let request = match action {
@@ -84,8 +84,8 @@
             Err(error) => {
                 log::warn!(error:% = error; "store gave no answer");
                 let jitter = rand::rng().random_range(0.5..1.5);
-                tokio::time::sleep(pause.mul_f64(jitter)).await;
-                pause = (pause * 2).min(LONGEST_PAUSE);
+                tokio::time::sleep(backoff.mul_f64(jitter)).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
                 StoreReply::Lost
             }
         };
@@ -94,7 +94,7 @@
 }
 
 /// The version at which a command took effect, when it did.
-pub async fn show_past_outcome(store: &StoreClient, command: &str) -> Result<ExitCode> {
+pub async fn print_past_outcome(store: &StoreClient, command: &str) -> Result<ExitCode> {
     let documents = read_documents(store).await?;
     match documents.outcome(command) {
         Some(version) => {
@@ -122,8 +122,8 @@
     Ok(read_documents(store).await?.configuration())
 }
 
-fn refuse_script(call: &Call, findings: &Findings) -> ExitCode {
-    match call.format {
+fn print_findings(invocation: &Invocation, findings: &Findings) -> ExitCode {
+    match invocation.format {
         Format::Json => {
             let list = findings.list.iter().map(|finding| {
                 json!({
@@ -136,7 +136,8 @@
         }
         Format::Table => {
             for finding in &findings.list {
-                let line = call.script.lines().nth(finding.place.line - 1).unwrap_or_default();
+                let line =
+                    invocation.script.lines().nth(finding.place.line - 1).unwrap_or_default();
                 let caret = " ".repeat(finding.place.column - 1);
                 println!("{}\n{caret}^ {}", line, finding.problem);
                 println!("{caret}  expected {}", finding.expected);
@@ -147,9 +148,9 @@
     ExitCode::from(EXIT_FAILED)
 }
 
-async fn show_dry_run(
+async fn print_dry_run(
     store: &StoreClient,
-    call: &Call,
+    invocation: &Invocation,
     statements: &[Statement],
 ) -> Result<ExitCode> {
     let before = read(store).await?;
@@ -166,22 +167,22 @@
             println!("would change {} at revision {}", names.join(", "), after.version);
             Ok(ExitCode::SUCCESS)
         }
-        Err(errors) => Ok(show_outcome(call, "", &CommitOutcome::Refused(errors))),
+        Err(errors) => Ok(print_outcome(invocation, "", &CommitOutcome::Refused(errors))),
     }
 }
 
-fn show_outcome(call: &Call, command: &str, outcome: &CommitOutcome) -> ExitCode {
+fn print_outcome(invocation: &Invocation, command: &str, outcome: &CommitOutcome) -> ExitCode {
     let (word, text, code) = match outcome {
         CommitOutcome::Accepted(version) => {
             ("accepted", format!("accepted at revision {version}"), 0)
         }
         CommitOutcome::Refused(errors) => {
-            let mut findings = Collector::new(&call.name, &call.script);
+            let mut findings = Collector::new(&invocation.name, &invocation.script);
             for (offset, error) in errors {
                 findings.add(*offset, error.to_string(), "a change that fits the configuration");
             }
             return match findings.finish(()) {
-                Err(findings) => refuse_script(call, &findings),
+                Err(findings) => print_findings(invocation, &findings),
                 Ok(()) => ExitCode::from(EXIT_FAILED),
             };
         }
@@ -204,10 +205,10 @@
         CommitOutcome::Unknown => (
             "unknown",
             format!("unknown yet; resolve it with: loftdrift ctl outcome {command}"),
-            EXIT_UNKNOWN,
+            EXIT_OUTCOME_UNKNOWN,
         ),
     };
-    match call.format {
+    match invocation.format {
         Format::Json => {
             println!("{}", json!({ "outcome": word, "command": command, "text": text }));
         }
@@ -217,7 +218,7 @@
 }
 
 /// The answer to a query, with the revision that it speaks of.
-fn answer(configuration: &Configuration, query: Query, format: Format) -> String {
+fn query_result(configuration: &Configuration, query: Query, format: Format) -> String {
     let (columns, rows) = match query {
         Query::Services => service_rows(configuration),
         Query::Backends => backend_rows(configuration, |_| true),
@@ -234,7 +235,7 @@
             let rows: Vec<serde_json::Value> = rows.iter().map(object).collect();
             json!({ "revision": version.to_string(), "rows": rows }).to_string()
         }
-        Format::Table => format!("{}revision {version}", table(&columns, &rows)),
+        Format::Table => format!("{}revision {version}", format_table(&columns, &rows)),
     }
 }
 
@@ -276,7 +277,7 @@
 }
 
 /// A table with aligned columns.
-pub fn table(columns: &[&str], rows: &[Vec<String>]) -> String {
+pub fn format_table(columns: &[&str], rows: &[Vec<String>]) -> String {
     let header: Vec<String> = columns.iter().map(|name| (*name).to_owned()).collect();
     let mut lines = vec![header];
     lines.extend(rows.iter().cloned());
--- a/crates/app/src/demo/world.rs
+++ b/crates/app/src/demo/cluster.rs
@@ -1,7 +1,7 @@
 //! Everything that the demo starts.
 
 use super::DemoSettings;
-use super::tally::Load;
+use super::stats::Load;
 use crate::agent_process::{self, AgentTask};
 use crate::balancer_process::{self, BalancerTask};
 use crate::ctl;
@@ -28,17 +28,17 @@
 /// The back end that the demo drains.
 pub(super) const DRAINED_BACKEND: &str = "tiles-1";
 
-const BALANCERS: usize = 4;
-const BALANCER_DRAIN: Duration = Duration::from_secs(1);
-const AGENT_DRAIN: Duration = Duration::from_secs(60);
+const BALANCER_COUNT: usize = 4;
+const BALANCER_DRAIN_DURATION: Duration = Duration::from_secs(1);
+const AGENT_DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 const PROBES_PER_SECOND: u32 = 40;
 const FLOW_BUFFER_BYTES: usize = 16 * 1024;
-const UNKNOWN_GRACE: Duration = Duration::from_secs(20);
-const UDP_IDLE: Duration = Duration::from_secs(30);
-const RAMP: Duration = Duration::from_secs(10);
-const SETTLE_BOUND: Duration = Duration::from_secs(10);
-const SETTLE_POLL: Duration = Duration::from_millis(20);
-const EXECUTIONS_TIMEOUT: Duration = Duration::from_secs(10);
+const UNKNOWN_GRACE_DURATION: Duration = Duration::from_secs(20);
+const UDP_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
+const RAMP_DURATION: Duration = Duration::from_secs(10);
+const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const EXECUTIONS_REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
 const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 /// A service of today's deployments.
@@ -51,7 +51,7 @@
     /// Sizes of the answers in bytes.
     body_bytes: (u64, u64),
     submit_share: f64,
-    work: Duration,
+    work_duration: Duration,
 }
 
 const fn service_address(last: u8) -> SocketAddrV4 {
@@ -68,7 +68,7 @@
         callers: 42,
         body_bytes: (1_000, 60_000),
         submit_share: 0.2,
-        work: Duration::from_millis(4),
+        work_duration: Duration::from_millis(4),
     },
     DemoService {
         name: "sheets",
@@ -78,7 +78,7 @@
         callers: 12,
         body_bytes: (100_000, 400_000),
         submit_share: 0.0,
-        work: Duration::from_millis(10),
+        work_duration: Duration::from_millis(10),
     },
     DemoService {
         name: "dispatch",
@@ -88,7 +88,7 @@
         callers: 42,
         body_bytes: (200, 4_000),
         submit_share: 0.3,
-        work: Duration::from_millis(3),
+        work_duration: Duration::from_millis(3),
     },
     DemoService {
         name: "manifests",
@@ -98,7 +98,7 @@
         callers: 12,
         body_bytes: (10_000, 50_000),
         submit_share: 0.0,
-        work: Duration::from_millis(10),
+        work_duration: Duration::from_millis(10),
     },
 ];
 
@@ -108,7 +108,7 @@
     stop: mpsc::Sender<()>,
     counters: watch::Receiver<PublishedSet>,
     task: AbortHandle,
-    follower: AbortHandle,
+    follower_task: AbortHandle,
 }
 
 struct RunningBackend {
@@ -119,7 +119,7 @@
 }
 
 /// All that runs.
-pub(super) struct World {
+pub(super) struct DemoCluster {
     tasks: JoinSet<Result<()>>,
     seed: u64,
     platform: SocketAddrV4,
@@ -128,17 +128,17 @@
     /// Clients of the daemons, for the bytes that they moved.
     daemon_stores: Vec<StoreClient>,
     started: Instant,
-    ports: BTreeMap<&'static str, SocketAddrV4>,
+    listen_addresses: BTreeMap<&'static str, SocketAddrV4>,
     balancers: Vec<RunningBalancer>,
     balancers_started: usize,
     backends: Vec<RunningBackend>,
     stop_callers: Option<watch::Sender<bool>>,
     /// Flows that the drained back end had opened when it had to have stopped.
-    drained_opens: Option<u64>,
+    drain_baseline: Option<u64>,
 }
 
-impl World {
-    pub(super) async fn start(settings: &DemoSettings) -> Result<World> {
+impl DemoCluster {
+    pub(super) async fn start(settings: &DemoSettings) -> Result<DemoCluster> {
         let mut tasks = JoinSet::new();
         let platform_listener = bind_tcp("platform", ANY_PORT).await?;
         let platform = local_address(platform_listener.local_addr())?;
@@ -148,7 +148,7 @@
         });
         let fabric_socket = bind_udp("fabric", ANY_PORT).await?;
         let fabric = local_address(fabric_socket.local_addr())?;
-        let (listeners, ports) = open_ports(settings).await?;
+        let (listeners, listen_addresses) = open_listeners(settings).await?;
         let fabric_settings = FabricSettings {
             balancers: Vec::new(),
             platform: Some(platform.into()),
@@ -156,7 +156,7 @@
             seed: settings.seed,
         };
         tasks.spawn(fabric::serve(fabric_socket, listeners, fabric_settings));
-        let mut world = World {
+        let mut cluster = DemoCluster {
             tasks,
             seed: settings.seed,
             platform,
@@ -164,19 +164,19 @@
             store: StoreClient::new(platform.into()),
             daemon_stores: Vec::new(),
             started: Instant::now(),
-            ports,
+            listen_addresses,
             balancers: Vec::new(),
             balancers_started: 0,
             backends: Vec::new(),
             stop_callers: None,
-            drained_opens: None,
+            drain_baseline: None,
         };
-        world.start_services().await?;
-        for _ in 0..BALANCERS {
-            world.start_balancer().await?;
+        cluster.start_services().await?;
+        for _ in 0..BALANCER_COUNT {
+            cluster.start_balancer().await?;
         }
-        world.settle().await?;
-        Ok(world)
+        cluster.wait_until_ready().await?;
+        Ok(cluster)
     }
 
     async fn start_services(&mut self) -> Result<()> {
@@ -188,7 +188,7 @@
                 script.push('\n');
             }
         }
-        self.command(&script).await
+        self.run_script(&script).await
     }
 
     /// Starts a back end and its agent; returns the statement that attaches it.
@@ -196,24 +196,24 @@
         let name = format!("{}-{number}", service.name);
         let listener = bind_tcp("backend", ANY_PORT).await?;
         let server = local_address(listener.local_addr())?;
-        let behaviour = BackendSettings {
+        let backend_settings = BackendSettings {
             service: service.name.to_owned(),
             name: name.clone(),
             slots: service.slots,
-            queue: 64,
-            work: service.work,
+            queue_capacity: 64,
+            work_duration: service.work_duration,
             cold_start: Duration::ZERO,
             load_lag: Duration::from_secs(1),
         };
         self.tasks.spawn(async move {
-            backend::serve(listener, behaviour).await;
+            backend::serve(listener, backend_settings).await;
             Ok(())
         });
         let socket = bind_udp("agent", ANY_PORT).await?;
         let agent = local_address(socket.local_addr())?;
         let (counters, published) = metrics::channel("agent");
         let (stop_sender, stop) = mpsc::channel(1);
-        let (configuration, _) = self.follow();
+        let (configuration, _) = self.start_follower();
         let task = AgentTask {
             socket,
             settings: AgentSettings {
@@ -221,12 +221,12 @@
                 fabric: self.fabric,
                 flow_buffer_bytes: FLOW_BUFFER_BYTES,
                 cookies: true,
-                unknown_grace: UNKNOWN_GRACE,
-                udp_idle: UDP_IDLE,
-                ramp: RAMP,
+                unknown_grace: UNKNOWN_GRACE_DURATION,
+                udp_idle: UDP_IDLE_TIMEOUT,
+                ramp: RAMP_DURATION,
                 seed: self.seed ^ u64::from(agent.port()),
             },
-            drain: AGENT_DRAIN,
+            drain_timeout: AGENT_DRAIN_TIMEOUT,
             configuration,
             stop,
             counters,
@@ -246,7 +246,7 @@
     }
 
     /// A configuration that is kept up to date, as each daemon does for itself.
-    fn follow(
+    fn start_follower(
         &mut self,
     ) -> (
         watch::Receiver<Option<std::sync::Arc<loftdrift_configuration::Configuration>>>,
@@ -256,11 +256,11 @@
         self.daemon_stores.push(store.clone());
         let (published, configuration) = watch::channel(None);
         let seed = self.seed.wrapping_add(self.daemon_stores.len() as u64);
-        let follower = self.tasks.spawn(async move {
+        let follower_task = self.tasks.spawn(async move {
             follow(store, seed, published).await;
             Ok(())
         });
-        (configuration, follower)
+        (configuration, follower_task)
     }
 
     /// Starts a balancer and has the platform list it.
@@ -271,10 +271,10 @@
         let address = local_address(socket.local_addr())?;
         let (counters, published) = metrics::channel("balancer");
         let (stop, stop_requests) = mpsc::channel(2);
-        let (configuration, follower) = self.follow();
+        let (configuration, follower_task) = self.start_follower();
         let task = BalancerTask {
             socket,
-            drain_duration: BALANCER_DRAIN,
+            drain_duration: BALANCER_DRAIN_DURATION,
             probes_per_second: PROBES_PER_SECOND,
             configuration,
             stop: stop_requests,
@@ -287,14 +287,14 @@
             stop,
             counters: published,
             task,
-            follower,
+            follower_task,
         };
         self.balancers.push(running);
-        self.list_machine(name, address, MachineState::Live).await?;
+        self.update_machine_list(name, address, MachineState::Live).await?;
         Ok(address)
     }
 
-    async fn list_machine(
+    async fn update_machine_list(
         &self,
         name: String,
         address: SocketAddrV4,
@@ -306,18 +306,18 @@
     }
 
     /// Waits until every balancer and agent has the newest configuration and balancers are in use.
-    async fn settle(&self) -> Result<()> {
-        let give_up = Instant::now() + SETTLE_BOUND;
-        while Instant::now() < give_up {
+    async fn wait_until_ready(&self) -> Result<()> {
+        let deadline = Instant::now() + STARTUP_TIMEOUT;
+        while Instant::now() < deadline {
             let probed = |balancer: &RunningBalancer| {
                 metrics::value(&balancer.counters, "echoes_answered") > 0
             };
             if self.balancers.iter().all(probed) && self.revisions().len() == 1 {
                 return Ok(());
             }
-            tokio::time::sleep(SETTLE_POLL).await;
+            tokio::time::sleep(STARTUP_POLL_INTERVAL).await;
         }
-        bail!("balancers and agents did not get the configuration within {SETTLE_BOUND:?}")
+        bail!("balancers and agents did not get the configuration within {STARTUP_TIMEOUT:?}")
     }
 
     /// The different revisions in force on living balancers and agents.
@@ -333,7 +333,7 @@
     }
 
     pub(super) fn tiles_address(&self) -> SocketAddrV4 {
-        self.ports[SERVICES[0].name]
+        self.listen_addresses[SERVICES[0].name]
     }
 
     pub(super) fn start_callers(&mut self, events: mpsc::Sender<CallerEvent>) {
@@ -342,7 +342,7 @@
             for caller in 0..service.callers {
                 let settings = CallerSettings {
                     service: service.name.to_owned(),
-                    address: self.ports[service.name].into(),
+                    address: self.listen_addresses[service.name].into(),
                     body_bytes: service.body_bytes,
                     submit_share: service.submit_share,
                     pause: Duration::from_millis(25),
@@ -378,9 +378,10 @@
     pub(super) async fn kill_balancer(&mut self) -> SocketAddrV4 {
         let balancer = self.balancers.remove(0);
         balancer.task.abort();
-        balancer.follower.abort();
+        balancer.follower_task.abort();
         // The list lags and may also miss it; the fabric's own probes decide.
-        let _ = self.list_machine(balancer.name, balancer.address, MachineState::Leaving).await;
+        let _ =
+            self.update_machine_list(balancer.name, balancer.address, MachineState::Leaving).await;
         balancer.address
     }
 
@@ -388,15 +389,15 @@
     pub(super) async fn attach_backend(&mut self) -> Result<String> {
         let service = &SERVICES[0];
         let statement = self.start_backend(service, service.backends + 1).await?;
-        self.command(&statement).await?;
+        self.run_script(&statement).await?;
         Ok(format!("{}-{}", service.name, service.backends + 1))
     }
 
     /// Carries out operators' statements.
-    pub(super) async fn command(&self, script: &str) -> Result<()> {
+    pub(super) async fn run_script(&self, script: &str) -> Result<()> {
         let statements = parse_script("demo", script)?;
-        let command = format!("demo-{}", self.started.elapsed().as_nanos());
-        match ctl::commit(&self.store, &command, statements).await {
+        let command_id = format!("demo-{}", self.started.elapsed().as_nanos());
+        match ctl::commit(&self.store, &command_id, statements).await {
             CommitOutcome::Accepted(_) => Ok(()),
             other => bail!("the configuration was not accepted: {other:?}"),
         }
@@ -404,7 +405,7 @@
 
     /// Loads of the back ends that take new flows.
     pub(super) fn loads(&self) -> Vec<Load> {
-        let drained = self.drained_opens.is_some();
+        let drained = self.drain_baseline.is_some();
         let takes_new = |backend: &&RunningBackend| !(drained && backend.name == DRAINED_BACKEND);
         let load = |backend: &RunningBackend| Load {
             service: backend.service,
@@ -413,26 +414,26 @@
         self.backends.iter().filter(takes_new).map(load).collect()
     }
 
-    fn drained_backend_opens(&self) -> u64 {
+    fn drained_backend_flows_opened(&self) -> u64 {
         let drained = self.backends.iter().find(|backend| backend.name == DRAINED_BACKEND);
         drained.map_or(0, |backend| metrics::value(&backend.counters, "flows_opened"))
     }
 
-    pub(super) fn note_drained_opens(&mut self) {
-        self.drained_opens = Some(self.drained_backend_opens());
+    pub(super) fn note_drain_baseline(&mut self) {
+        self.drain_baseline = Some(self.drained_backend_flows_opened());
     }
 
     /// Flows that the drained back end opened though it had to have stopped.
     pub(super) fn opened_after_drain(&self) -> u64 {
-        let noted = self.drained_opens;
-        noted.map_or(0, |noted| self.drained_backend_opens().saturating_sub(noted))
+        let noted = self.drain_baseline;
+        noted.map_or(0, |noted| self.drained_backend_flows_opened().saturating_sub(noted))
     }
 
     /// Every request that ran on any back end, with how often.
     pub(super) async fn executions(&self) -> Result<BTreeMap<String, u64>> {
         let mut runs: BTreeMap<String, u64> = BTreeMap::new();
         for backend in &self.backends {
-            let client = HttpClient::new(backend.server.into(), EXECUTIONS_TIMEOUT);
+            let client = HttpClient::new(backend.server.into(), EXECUTIONS_REQUEST_TIMEOUT);
             let executions: Vec<Execution> =
                 client.send_json(Method::GET, "/standin/executions", &()).await?;
             for execution in executions {
@@ -454,16 +455,16 @@
     }
 }
 
-async fn open_ports(
+async fn open_listeners(
     settings: &DemoSettings,
 ) -> Result<(Vec<Listener>, BTreeMap<&'static str, SocketAddrV4>)> {
     let mut listeners = Vec::new();
-    let mut ports = BTreeMap::new();
+    let mut listen_addresses = BTreeMap::new();
     for (index, service) in SERVICES.iter().enumerate() {
         let wanted = settings.listen.filter(|_| index == 0).unwrap_or(ANY_PORT);
         let socket = bind_tcp("--listen", wanted).await?;
-        ports.insert(service.name, local_address(socket.local_addr())?);
+        listen_addresses.insert(service.name, local_address(socket.local_addr())?);
         listeners.push(Listener { service: service.address, socket: ListenerSocket::Tcp(socket) });
     }
-    Ok((listeners, ports))
+    Ok((listeners, listen_addresses))
 }
--- a/crates/app/src/demo/mod.rs
+++ b/crates/app/src/demo/mod.rs
@@ -3,30 +3,30 @@
 //! Callers keep long flows to the Guild's and the co-op's services while one balancer is stopped
 //! as planned, another is killed, a new one starts, a back end drains and another is attached.
 
+mod cluster;
 mod report;
-mod tally;
-mod world;
+mod stats;
 
 use crate::command_line::EXIT_FAILED;
 use crate::ctl::Format;
 use anyhow::Result;
+use cluster::DemoCluster;
 use report::Report;
+use stats::DemoStats;
 use std::net::SocketAddrV4;
 use std::process::ExitCode;
 use std::time::Duration;
-use tally::Tally;
 use tokio::time::Instant;
-use world::World;
 
 /// How long the demo runs when nothing is said.
-pub const DEFAULT_SECONDS: u64 = 20;
+pub const DEFAULT_DURATION_SECONDS: u64 = 20;
 /// The shortest run in which every change has its effect.
-pub const FEWEST_SECONDS: u64 = 8;
+pub const MIN_DURATION_SECONDS: u64 = 8;
 /// The seed when none is given.
 pub const DEFAULT_SEED: u64 = 1;
 
 /// A drained back end takes no new flow later than this after the acceptance.
-const DRAIN_BOUND: Duration = Duration::from_secs(3);
+const DRAIN_EFFECT_LIMIT: Duration = Duration::from_secs(3);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What the demo is asked for.
@@ -55,12 +55,12 @@
 
 /// Runs the demo; exits with 0 only when every promise held.
 pub async fn run(settings: DemoSettings) -> Result<ExitCode> {
-    let mut world = World::start(&settings).await?;
-    let (mut tally, events) = Tally::new();
-    world.start_callers(events);
+    let mut cluster = DemoCluster::start(&settings).await?;
+    let (mut stats, events) = DemoStats::new();
+    cluster.start_callers(events);
     let show = settings.format == Format::Table;
     if show {
-        let address = world.tiles_address();
+        let address = cluster.tiles_address();
         println!("try it meanwhile: curl -s 'http://{address}/bytes/10000000?seed=1' | sha256sum");
     }
     let started = Instant::now();
@@ -70,23 +70,23 @@
     while Instant::now() < end {
         let next = timeline.peek().map_or(end, |(at, _)| started + *at);
         tokio::select! {
-            _ = sampling.tick() => tally.sample_loads(&world.loads()),
-            () = tally.collect() => {}
+            _ = sampling.tick() => stats.sample_loads(&cluster.loads()),
+            () = stats.collect() => {}
             () = tokio::time::sleep_until(next.min(end)) => {
                 if let Some((at, change)) = timeline.next() {
-                    let told = carry_out(&mut world, change).await?;
+                    let message = apply_change(&mut cluster, change).await?;
                     if show {
-                        println!("{:5.1} s  {told}", at.as_secs_f64());
+                        println!("{:5.1} s  {message}", at.as_secs_f64());
                     }
                 }
             }
         }
     }
     let elapsed = started.elapsed();
-    world.stop_callers();
-    tally.collect_rest().await;
-    let executions = world.executions().await?;
-    let report = Report::new(&tally, &world, &executions, elapsed);
+    cluster.stop_callers();
+    stats.collect_rest().await;
+    let executions = cluster.executions().await?;
+    let report = Report::new(&stats, &cluster, &executions, elapsed);
     println!("{}", report.render(settings.format));
     let code = if report.promises_held() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) };
     Ok(code)
@@ -94,37 +94,37 @@
 
 /// When each change comes, as shares of the whole duration.
 fn timeline(duration: Duration) -> Vec<(Duration, Change)> {
-    let drained_at = duration.mul_f64(0.5);
+    let drain_at = duration.mul_f64(0.5);
     vec![
         (duration.mul_f64(0.15), Change::StopBalancer),
         (duration.mul_f64(0.25), Change::KillBalancer),
         (duration.mul_f64(0.35), Change::StartBalancer),
-        (drained_at, Change::DrainBackend),
+        (drain_at, Change::DrainBackend),
         (duration.mul_f64(0.55), Change::AttachBackend),
-        (drained_at + DRAIN_BOUND, Change::CheckDrained),
+        (drain_at + DRAIN_EFFECT_LIMIT, Change::CheckDrained),
     ]
 }
 
-async fn carry_out(world: &mut World, change: Change) -> Result<String> {
+async fn apply_change(cluster: &mut DemoCluster, change: Change) -> Result<String> {
     match change {
         Change::StopBalancer => {
-            let address = world.stop_balancer().await;
+            let address = cluster.stop_balancer().await;
             Ok(format!("balancer {address} is stopped as planned"))
         }
-        Change::KillBalancer => Ok(format!("balancer {} is killed", world.kill_balancer().await)),
+        Change::KillBalancer => Ok(format!("balancer {} is killed", cluster.kill_balancer().await)),
         Change::StartBalancer => {
-            Ok(format!("balancer {} has started", world.start_balancer().await?))
+            Ok(format!("balancer {} has started", cluster.start_balancer().await?))
         }
         Change::DrainBackend => {
-            world.command(&format!("drain backend {}", world::DRAINED_BACKEND)).await?;
-            Ok(format!("back end {} is draining", world::DRAINED_BACKEND))
+            cluster.run_script(&format!("drain backend {}", cluster::DRAINED_BACKEND)).await?;
+            Ok(format!("back end {} is draining", cluster::DRAINED_BACKEND))
         }
         Change::CheckDrained => {
-            world.note_drained_opens();
-            Ok(format!("back end {} must take no new flow from now on", world::DRAINED_BACKEND))
+            cluster.note_drain_baseline();
+            Ok(format!("back end {} must take no new flow from now on", cluster::DRAINED_BACKEND))
         }
         Change::AttachBackend => {
-            let name = world.attach_backend().await?;
+            let name = cluster.attach_backend().await?;
             Ok(format!("back end {name} is attached"))
         }
     }
--- a/crates/app/src/demo/report.rs
+++ b/crates/app/src/demo/report.rs
@@ -1,8 +1,8 @@
 //! The demo's result.
 
-use super::tally::Tally;
-use super::world::World;
-use crate::ctl::{Format, table};
+use super::cluster::DemoCluster;
+use super::stats::DemoStats;
+use crate::ctl::{Format, format_table};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,34 +31,34 @@
 
 impl Report {
     pub(super) fn new(
-        tally: &Tally,
-        world: &World,
+        stats: &DemoStats,
+        cluster: &DemoCluster,
         executions: &BTreeMap<String, u64>,
         elapsed: Duration,
     ) -> Report {
         let doubled = executions.values().filter(|runs| **runs > 1).count() as u64;
-        let refused = &tally.refused_not_run;
+        let refused = &stats.rejected_requests;
         let refused_but_run = refused.iter().filter(|request| executions.contains_key(*request));
-        let broken = tally.broken_by_cause.iter();
+        let broken = stats.broken_by_cause.iter();
         let mut report = Report {
             seconds: elapsed.as_secs_f64(),
-            flows_opened: tally.flows_opened,
-            flows_broken: tally.flows_broken(),
+            flows_opened: stats.flows_opened,
+            flows_broken: stats.flows_broken(),
             broken_by_cause: broken
                 .map(|(cause, count)| (format!("{cause:?}").to_lowercase(), *count))
                 .collect(),
-            requests_sent: tally.requests_sent,
-            answered_whole_once: tally.answered_whole - doubled,
-            submissions_answered: tally.submissions_answered,
-            wrong_answers: tally.wrong,
+            requests_sent: stats.requests_sent,
+            answered_whole_once: stats.valid_responses - doubled,
+            submissions_answered: stats.submissions_answered,
+            wrong_answers: stats.invalid_responses,
             doubled,
             refused_not_run: refused.len() as u64,
             refused_but_run: refused_but_run.count() as u64,
-            misdelivered: tally.misdelivered,
-            opened_after_drain: world.opened_after_drain(),
-            revisions_in_force: world.revisions(),
-            imbalance: tally.imbalance(),
-            control_bytes_per_second: world.control_bytes_per_second(),
+            misdelivered: stats.misdelivered,
+            opened_after_drain: cluster.opened_after_drain(),
+            revisions_in_force: cluster.revisions(),
+            imbalance: stats.imbalance(),
+            control_bytes_per_second: cluster.control_bytes_per_second(),
             promises_held: false,
         };
         report.promises_held = report.check();
@@ -86,11 +86,11 @@
         match format {
             // Plain data with string keys always serializes.
             Format::Json => serde_json::to_string(self).unwrap_or_default(),
-            Format::Table => self.table(),
+            Format::Table => self.render_table(),
         }
     }
 
-    fn table(&self) -> String {
+    fn render_table(&self) -> String {
         let mut rows: Vec<Vec<String>> = Vec::new();
         let mut row = |name: &str, value: String| rows.push(vec![name.to_owned(), value]);
         row("flows opened", self.flows_opened.to_string());
@@ -113,6 +113,6 @@
         }
         row("control bytes a second", format!("{:.0}", self.control_bytes_per_second));
         row("promises held", if self.promises_held { "yes" } else { "NO" }.to_owned());
-        table(&["measure", "value"], &rows)
+        format_table(&["measure", "value"], &rows)
     }
 }
--- a/crates/app/src/demo/tally.rs
+++ b/crates/app/src/demo/stats.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use tokio::sync::mpsc;
 
-const EVENT_QUEUE: usize = 4_096;
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
 
 /// Open flows of one back end that takes new flows.
 #[derive(Clone, Debug)]
@@ -22,36 +22,36 @@
 
 /// What was counted.
 #[derive(Debug)]
-pub(crate) struct Tally {
+pub(crate) struct DemoStats {
     events: mpsc::Receiver<CallerEvent>,
     pub(crate) flows_opened: u64,
     pub(crate) broken_by_cause: BTreeMap<BreakCause, u64>,
     pub(crate) requests_sent: u64,
-    pub(crate) answered_whole: u64,
+    pub(crate) valid_responses: u64,
     pub(crate) submissions_answered: u64,
-    pub(crate) wrong: u64,
-    pub(crate) refused_not_run: Vec<String>,
+    pub(crate) invalid_responses: u64,
+    pub(crate) rejected_requests: Vec<String>,
     pub(crate) misdelivered: u64,
     imbalance: BTreeMap<&'static str, Imbalance>,
 }
 
-impl Tally {
+impl DemoStats {
     /// A tally and the channel on which callers report to it.
     pub(crate) fn new() -> (Self, mpsc::Sender<CallerEvent>) {
-        let (sender, events) = mpsc::channel(EVENT_QUEUE);
-        let tally = Tally {
+        let (sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+        let stats = DemoStats {
             events,
             flows_opened: 0,
             broken_by_cause: BTreeMap::new(),
             requests_sent: 0,
-            answered_whole: 0,
+            valid_responses: 0,
             submissions_answered: 0,
-            wrong: 0,
-            refused_not_run: Vec::new(),
+            invalid_responses: 0,
+            rejected_requests: Vec::new(),
             misdelivered: 0,
             imbalance: BTreeMap::new(),
         };
-        (tally, sender)
+        (stats, sender)
     }
 
     /// Waits for one report and counts it; never returns once callers are gone.
@@ -74,12 +74,12 @@
             CallerEvent::Opened => self.flows_opened += 1,
             CallerEvent::Broken(cause) => *self.broken_by_cause.entry(cause).or_default() += 1,
             CallerEvent::Sent(_) => self.requests_sent += 1,
-            CallerEvent::Whole { submission, .. } => {
-                self.answered_whole += 1;
+            CallerEvent::Completed { submission, .. } => {
+                self.valid_responses += 1;
                 self.submissions_answered += u64::from(submission);
             }
-            CallerEvent::Wrong(_) => self.wrong += 1,
-            CallerEvent::RefusedNotRun(request) => self.refused_not_run.push(request),
+            CallerEvent::InvalidResponse(_) => self.invalid_responses += 1,
+            CallerEvent::Rejected(request) => self.rejected_requests.push(request),
             CallerEvent::Misdelivered(_) => self.misdelivered += 1,
         }
     }
--- a/crates/app/src/process.rs
+++ b/crates/app/src/process.rs
@@ -17,7 +17,7 @@
 use tokio::task::JoinSet;
 
 /// What a daemon works with besides its own settings.
-struct Surroundings {
+struct ProcessResources {
     socket: UdpSocket,
     configuration: watch::Receiver<Option<Arc<Configuration>>>,
     counters: watch::Sender<PublishedSet>,
@@ -25,7 +25,7 @@
     background: JoinSet<()>,
 }
 
-impl Surroundings {
+impl ProcessResources {
     async fn open(
         role: Role,
         listen: SocketAddrV4,
@@ -35,32 +35,32 @@
         let socket = bind_udp("listen", listen).await?;
         announce("listen", socket.local_addr())?;
         let mut background = JoinSet::new();
-        let (published, configuration) = watch::channel(None);
+        let (configuration_sender, configuration) = watch::channel(None);
         let store = StoreClient::new(platform.into());
-        background.spawn(follow(store, rand::random(), published));
-        let (counters, published_counters) = metrics::channel(role.name());
-        background.spawn(metrics::log_periodically(published_counters.clone()));
+        background.spawn(follow(store, rand::random(), configuration_sender));
+        let (counters, counters_receiver) = metrics::channel(role.name());
+        background.spawn(metrics::log_periodically(counters_receiver.clone()));
         if let Some(address) = metrics {
             let listener = bind_tcp("metrics", address).await?;
             announce("metrics", listener.local_addr())?;
-            background.spawn(metrics::serve(listener, published_counters));
+            background.spawn(metrics::serve(listener, counters_receiver));
         }
-        Ok(Surroundings { socket, configuration, counters, background })
+        Ok(ProcessResources { socket, configuration, counters, background })
     }
 }
 
 /// Runs a balancer until it is stopped.
 pub async fn run_balancer(settings: BalancerProcess, stop: mpsc::Receiver<()>) -> Result<()> {
     let BalancerProcess { listen, platform, metrics, .. } = settings;
-    let surroundings = Surroundings::open(Role::Balancer, listen, platform, metrics).await?;
-    let _background = surroundings.background;
+    let resources = ProcessResources::open(Role::Balancer, listen, platform, metrics).await?;
+    let _background = resources.background;
     balancer_process::run(BalancerTask {
-        socket: surroundings.socket,
+        socket: resources.socket,
         drain_duration: settings.drain,
         probes_per_second: settings.probes_per_second,
-        configuration: surroundings.configuration,
+        configuration: resources.configuration,
         stop,
-        counters: surroundings.counters,
+        counters: resources.counters,
     })
     .await
 }
@@ -68,10 +68,10 @@
 /// Runs an agent until it is stopped.
 pub async fn run_agent(settings: AgentProcess, stop: mpsc::Receiver<()>) -> Result<()> {
     let AgentProcess { listen, platform, metrics, .. } = settings;
-    let surroundings = Surroundings::open(Role::Agent, listen, platform, metrics).await?;
-    let _background = surroundings.background;
+    let resources = ProcessResources::open(Role::Agent, listen, platform, metrics).await?;
+    let _background = resources.background;
     agent_process::run(AgentTask {
-        socket: surroundings.socket,
+        socket: resources.socket,
         settings: AgentSettings {
             backend: settings.backend,
             fabric: settings.fabric,
@@ -82,10 +82,10 @@
             ramp: settings.ramp,
             seed: rand::random(),
         },
-        drain: settings.drain,
-        configuration: surroundings.configuration,
+        drain_timeout: settings.drain,
+        configuration: resources.configuration,
         stop,
-        counters: surroundings.counters,
+        counters: resources.counters,
     })
     .await
 }
--- a/crates/app/src/standins.rs
+++ b/crates/app/src/standins.rs
@@ -14,7 +14,7 @@
 use std::process::ExitCode;
 use tokio::sync::{mpsc, watch};
 
-const EVENT_QUEUE: usize = 1_024;
+const EVENT_QUEUE_CAPACITY: usize = 1_024;
 
 /// Runs the platform until it is killed.
 pub async fn run_platform(settings: PlatformProcess) -> Result<()> {
@@ -33,16 +33,16 @@
 pub async fn run_backend(settings: BackendProcess) -> Result<()> {
     let listener = bind_tcp("listen", settings.listen).await?;
     announce("listen", listener.local_addr())?;
-    let behaviour = BackendSettings {
+    let backend_settings = BackendSettings {
         service: settings.service,
         name: settings.name,
         slots: settings.slots,
-        queue: settings.queue,
-        work: settings.work,
+        queue_capacity: settings.queue,
+        work_duration: settings.work,
         cold_start: settings.cold_start,
         load_lag: settings.load_lag,
     };
-    backend::serve(listener, behaviour).await;
+    backend::serve(listener, backend_settings).await;
     Ok(())
 }
 
@@ -78,7 +78,7 @@
 /// Runs callers for their time and prints what they saw; fails when a flow broke or an answer was
 /// wrong.
 pub async fn run_callers(settings: CallersProcess) -> Result<ExitCode> {
-    let (events_sender, mut events) = mpsc::channel(EVENT_QUEUE);
+    let (events_sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (stop_sender, stop) = watch::channel(false);
     for caller in 0..settings.callers {
         let settings = caller_settings(&settings);
@@ -95,10 +95,10 @@
         *counts.entry(event_name(&event)).or_default() += 1;
     }
     println!("{}", serde_json::to_string(&counts)?);
-    let bad = counts
+    let has_failures = counts
         .keys()
         .any(|name| name.starts_with("broken") || name == "wrong" || name == "misdelivered");
-    Ok(if bad { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
+    Ok(if has_failures { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
 fn caller_settings(settings: &CallersProcess) -> CallerSettings {
@@ -118,9 +118,9 @@
         CallerEvent::Opened => "flows_opened".to_owned(),
         CallerEvent::Broken(cause) => format!("broken_{cause:?}").to_lowercase(),
         CallerEvent::Sent(_) => "requests_sent".to_owned(),
-        CallerEvent::Whole { .. } => "answered_whole".to_owned(),
-        CallerEvent::Wrong(_) => "wrong".to_owned(),
-        CallerEvent::RefusedNotRun(_) => "refused_not_run".to_owned(),
+        CallerEvent::Completed { .. } => "answered_whole".to_owned(),
+        CallerEvent::InvalidResponse(_) => "wrong".to_owned(),
+        CallerEvent::Rejected(_) => "refused_not_run".to_owned(),
         CallerEvent::Misdelivered(_) => "misdelivered".to_owned(),
     }
 }
--- a/crates/app/tests/command_line.rs
+++ b/crates/app/tests/command_line.rs
@@ -10,11 +10,11 @@
     Command::new(program).args(arguments).env("RUST_LOG", "off").output().expect("it starts")
 }
 
-fn error(output: &Output) -> String {
+fn stderr_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stderr).into_owned()
 }
 
-fn printed(output: &Output) -> String {
+fn stdout_text(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
@@ -25,14 +25,14 @@
 #[test]
 fn help_and_version_are_everywhere() {
     for program in [LOFTDRIFT, STANDIN] {
-        assert!(printed(&run(program, &["--version"])).contains(env!("CARGO_PKG_VERSION")));
-        assert!(printed(&run(program, &["--help"])).contains("usage:"));
-        assert!(printed(&run(program, &[])).contains("exit codes:"));
+        assert!(stdout_text(&run(program, &["--version"])).contains(env!("CARGO_PKG_VERSION")));
+        assert!(stdout_text(&run(program, &["--help"])).contains("usage:"));
+        assert!(stdout_text(&run(program, &[])).contains("exit codes:"));
     }
     for command in ["balancer", "agent", "ctl", "check", "demo"] {
         let output = run(LOFTDRIFT, &[command, "--help"]);
         assert_eq!(output.status.code(), Some(0));
-        assert!(printed(&output).contains(command));
+        assert!(stdout_text(&output).contains(command));
     }
 }
 
@@ -51,7 +51,7 @@
     ] {
         let output = run(LOFTDRIFT, &arguments);
         assert_eq!(output.status.code(), Some(2), "{arguments:?}");
-        assert!(error(&output).contains(expected), "{arguments:?}: {}", error(&output));
+        assert!(stderr_text(&output).contains(expected), "{arguments:?}: {}", stderr_text(&output));
     }
 }
 
@@ -59,15 +59,15 @@
 fn an_unreadable_file_and_a_port_in_use_name_the_thing_and_the_setting() {
     let output = run(LOFTDRIFT, &["balancer", "--config", "/nowhere/b.toml"]);
     assert_eq!(output.status.code(), Some(1));
-    assert!(error(&output).contains("--config"), "{}", error(&output));
-    assert!(error(&output).contains("/nowhere/b.toml"), "{}", error(&output));
-    let taken = UdpSocket::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address").to_string();
+    assert!(stderr_text(&output).contains("--config"), "{}", stderr_text(&output));
+    assert!(stderr_text(&output).contains("/nowhere/b.toml"), "{}", stderr_text(&output));
+    let occupied = UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let address = occupied.local_addr().expect("an address").to_string();
     let arguments = ["balancer", "--listen", &address, "--platform", "127.0.0.1:1"];
     let output = run(LOFTDRIFT, &arguments);
     assert_eq!(output.status.code(), Some(1));
-    assert!(error(&output).contains("setting `listen`"), "{}", error(&output));
-    assert!(error(&output).contains(&address), "{}", error(&output));
+    assert!(stderr_text(&output).contains("setting `listen`"), "{}", stderr_text(&output));
+    assert!(stderr_text(&output).contains(&address), "{}", stderr_text(&output));
 }
 
 #[test]
@@ -77,7 +77,7 @@
         for file in files {
             let path = file.expect("a file").path();
             let output = run(LOFTDRIFT, &["check", path.to_str().expect("a path")]);
-            assert_eq!(output.status.code(), Some(0), "{}", printed(&output));
+            assert_eq!(output.status.code(), Some(0), "{}", stdout_text(&output));
         }
     }
 }
@@ -95,7 +95,7 @@
     std::fs::remove_file(&settings).expect("the file");
     std::fs::remove_file(&script).expect("the file");
     assert_eq!(output.status.code(), Some(1));
-    let shown = printed(&output);
+    let shown = stdout_text(&output);
     for expected in [":2:10: `listen` is 7", ":3:1: unknown setting `slots`", ":1:6: `servces`"] {
         assert!(shown.contains(expected), "no {expected} in {shown}");
     }
@@ -104,7 +104,7 @@
 #[test]
 fn the_demo_holds_its_promises_and_says_so_in_json() {
     let output = run(LOFTDRIFT, &["demo", "--seconds", "8", "--seed", "3", "--format", "json"]);
-    let report: serde_json::Value = serde_json::from_str(&printed(&output)).expect("JSON");
+    let report: serde_json::Value = serde_json::from_str(&stdout_text(&output)).expect("JSON");
     assert_eq!(output.status.code(), Some(0), "{report}");
     for zero in ["flows_broken", "doubled", "misdelivered", "opened_after_drain"] {
         assert_eq!(report[zero], 0, "{report}");
--- a/crates/app/tests/processes.rs
+++ b/crates/app/tests/processes.rs
@@ -5,25 +5,25 @@
 use nix::sys::signal::Signal;
 use std::net::{SocketAddr, UdpSocket};
 use std::time::Duration;
-use support::link::{Link, TcpLink};
-use support::{Cluster, Process, Seen, finish_callers, http, pause, wait_for};
+use support::link::{TcpLink, UdpLink};
+use support::{CallerReport, Cluster, Process, finish_callers, http, sleep_ms, wait_for};
 
-fn assert_unbroken(seen: &Seen) {
-    assert!(seen.succeeded, "{seen:?}");
-    assert!(seen.count("flows_opened") > 0, "{seen:?}");
-    let answered = seen.count("answered_whole") + seen.count("refused_not_run");
-    assert_eq!(answered, seen.count("requests_sent"), "{seen:?}");
+fn assert_unbroken(report: &CallerReport) {
+    assert!(report.succeeded, "{report:?}");
+    assert!(report.count("flows_opened") > 0, "{report:?}");
+    let answered = report.count("answered_whole") + report.count("refused_not_run");
+    assert_eq!(answered, report.count("requests_sent"), "{report:?}");
 }
 
 #[test]
 fn balancers_are_killed_frozen_and_stopped_under_load() {
     let mut cluster = Cluster::start(4, 3);
     let callers = cluster.start_callers(6, 200);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.balancers[0].signal(Signal::SIGKILL);
-    pause(700);
+    sleep_ms(700);
     cluster.balancers[1].signal(Signal::SIGSTOP);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.balancers[1].signal(Signal::SIGCONT);
     cluster.balancers[2].signal(Signal::SIGTERM);
     let address = cluster.start_balancer();
@@ -41,7 +41,7 @@
     let expected = http::request(cluster.backends[0].addresses[0], "GET", &path, "");
     let expected = expected.expect("the body from the back end itself");
     let fetching = std::thread::spawn(move || http::request(port, "GET", &path, ""));
-    pause(150);
+    sleep_ms(150);
     cluster.balancers[0].signal(Signal::SIGKILL);
     let address = cluster.start_balancer();
     cluster.list_balancer(4, address);
@@ -54,16 +54,16 @@
 #[test]
 fn a_balancer_is_cut_off_and_comes_back() {
     let mut cluster = Cluster::start(2, 2);
-    let link = Link::to(cluster.start_balancer());
+    let link = UdpLink::to(cluster.start_balancer());
     cluster.list_balancer(3, link.address);
     let balancer = &cluster.balancers[2];
     wait_for("the linked balancer", || {
         Cluster::metric(balancer, "loftdrift_balancer_echoes_answered_total") > Some(0)
     });
     let callers = cluster.start_callers(5, 200);
-    pause(1_000);
+    sleep_ms(1_000);
     link.set_cut(true);
-    pause(1_500);
+    sleep_ms(1_500);
     link.set_cut(false);
     assert_unbroken(&finish_callers(callers));
 }
@@ -71,12 +71,12 @@
 #[test]
 fn an_agent_is_cut_off_and_its_flows_live_on() {
     let mut cluster = Cluster::start(2, 2);
-    let link = Link::to(cluster.start_backend());
+    let link = UdpLink::to(cluster.start_backend());
     cluster.attach(3, link.address);
     let callers = cluster.start_callers(6, 200);
-    pause(1_500);
+    sleep_ms(1_500);
     link.set_cut(true);
-    pause(1_000);
+    sleep_ms(1_000);
     link.set_cut(false);
     assert_unbroken(&finish_callers(callers));
 }
@@ -88,24 +88,24 @@
     let link = TcpLink::to(cluster.backends[2].addresses[0]);
     cluster.attach_at(3, link.address, agent);
     let callers = cluster.start_callers(6, 200);
-    pause(1_500);
+    sleep_ms(1_500);
     link.set_cut(true);
-    pause(1_000);
+    sleep_ms(1_000);
     link.set_cut(false);
-    let seen = finish_callers(callers);
-    assert_unbroken(&seen);
+    let report = finish_callers(callers);
+    assert_unbroken(&report);
     let opened = Cluster::metric(&cluster.agents[2], "loftdrift_agent_flows_opened_total");
-    assert!(opened > Some(0), "no flow crossed the link: {seen:?}");
+    assert!(opened > Some(0), "no flow crossed the link: {report:?}");
 }
 
 #[test]
 fn an_agent_and_a_back_end_are_frozen_and_their_flows_live_on() {
     let cluster = Cluster::start(2, 3);
     let callers = cluster.start_callers(6, 200);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.agents[0].signal(Signal::SIGSTOP);
     cluster.backends[1].signal(Signal::SIGSTOP);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.agents[0].signal(Signal::SIGCONT);
     cluster.backends[1].signal(Signal::SIGCONT);
     assert_unbroken(&finish_callers(callers));
@@ -123,17 +123,17 @@
     let own = flows_of(0) + flows_of(1);
     cluster.agents[0].signal(Signal::SIGKILL);
     cluster.backends[1].signal(Signal::SIGKILL);
-    let seen = finish_callers(callers);
-    assert_eq!(seen.count("wrong") + seen.count("misdelivered"), 0, "{seen:?}");
+    let report = finish_callers(callers);
+    assert_eq!(report.count("wrong") + report.count("misdelivered"), 0, "{report:?}");
     let broken: u64 = ["broken_cut", "broken_refused", "broken_timeout"]
         .iter()
-        .map(|name| seen.count(name))
+        .map(|name| report.count(name))
         .sum();
-    assert!(broken >= own, "{own} flows were lost: {seen:?}");
+    assert!(broken >= own, "{own} flows were lost: {report:?}");
     // The other back ends' flows never broke.
     for number in 2..4 {
         let failed = Cluster::metric(&cluster.agents[number], "loftdrift_agent_flows_failed_total");
-        assert_eq!(failed, Some(0), "{seen:?}");
+        assert_eq!(failed, Some(0), "{report:?}");
     }
     // The dead agent and the dead back end attract no new flow.
     wait_for("the agent to find its back end dead", || {
@@ -150,11 +150,11 @@
 fn the_platform_fails_and_everything_else_goes_on() {
     let cluster = Cluster::start(2, 2);
     let callers = cluster.start_callers(5, 50);
-    pause(500);
+    sleep_ms(500);
     cluster.set_faults(r#"{"outage": true}"#);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.set_faults(r#"{"silent": true}"#);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.platform.signal(Signal::SIGKILL);
     assert_unbroken(&finish_callers(callers));
 }
@@ -162,7 +162,7 @@
 #[test]
 fn a_store_that_lost_everything_rolls_nothing_back() {
     const REVISION: &str = "loftdrift_balancer_configuration_revision";
-    const PASSED_OVER: &str = "loftdrift_balancer_configurations_passed_over_total";
+    const SKIPPED: &str = "loftdrift_balancer_configurations_passed_over_total";
     let mut cluster = Cluster::start(1, 3);
     let revision = Cluster::metric(&cluster.balancers[0], REVISION);
     let callers = cluster.start_callers(6, 50);
@@ -174,7 +174,7 @@
     cluster.ctl("create service another at 10.20.0.3:80");
     assert_unbroken(&finish_callers(callers));
     assert_eq!(Cluster::metric(balancer, REVISION), revision);
-    assert_eq!(Cluster::metric(balancer, PASSED_OVER), Some(0));
+    assert_eq!(Cluster::metric(balancer, SKIPPED), Some(0));
 }
 
 #[test]
@@ -224,7 +224,7 @@
 fn a_drained_back_end_and_a_stopped_agent_cut_no_request() {
     let mut cluster = Cluster::start(2, 3);
     let callers = cluster.start_callers(6, 40);
-    pause(1_000);
+    sleep_ms(1_000);
     cluster.ctl("drain backend tiles-1");
     cluster.agents[1].signal(Signal::SIGTERM);
     // The agent ends by itself once its last flow has ended.
@@ -238,7 +238,7 @@
     let mut callers = KillOnDrop(cluster.start_callers(30, 1_000_000));
     wait_for("flows", || Cluster::metric(&cluster.agents[0], "loftdrift_agent_flows") > Some(0));
     cluster.agents[0].signal(Signal::SIGTERM);
-    pause(300);
+    sleep_ms(300);
     cluster.agents[0].signal(Signal::SIGTERM);
     assert!(cluster.agents[0].wait().success());
     // The callers' flows were still there: the agent did not just wait for their end.
--- a/crates/app/tests/support/link.rs
+++ b/crates/app/tests/support/link.rs
@@ -11,19 +11,19 @@
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 
 /// Relays datagrams to a process and its answers back to each sender.
-pub struct Link {
+pub struct UdpLink {
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
-impl Link {
-    pub fn to(target: SocketAddr) -> Link {
-        let front = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let address = front.local_addr().expect("an address");
+impl UdpLink {
+    pub fn to(target: SocketAddr) -> UdpLink {
+        let listener_socket = UdpSocket::bind("127.0.0.1:0").expect("a port");
+        let address = listener_socket.local_addr().expect("an address");
         let cut = Arc::new(AtomicBool::new(false));
         let is_cut = Arc::clone(&cut);
-        thread::spawn(move || relay(&front, target, &is_cut));
-        Link { address, cut }
+        thread::spawn(move || relay_requests(&listener_socket, target, &is_cut));
+        UdpLink { address, cut }
     }
 
     pub fn set_cut(&self, cut: bool) {
@@ -31,36 +31,41 @@
     }
 }
 
-fn relay(front: &UdpSocket, target: SocketAddr, cut: &Arc<AtomicBool>) {
-    let mut backs: HashMap<SocketAddr, UdpSocket> = HashMap::new();
+fn relay_requests(listener_socket: &UdpSocket, target: SocketAddr, cut: &Arc<AtomicBool>) {
+    let mut upstream_sockets: HashMap<SocketAddr, UdpSocket> = HashMap::new();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    while let Ok((length, sender)) = front.recv_from(&mut buffer) {
+    while let Ok((length, sender)) = listener_socket.recv_from(&mut buffer) {
         if cut.load(Ordering::SeqCst) {
             continue;
         }
-        let back = backs.entry(sender).or_insert_with(|| {
-            let back = UdpSocket::bind("127.0.0.1:0").expect("a port");
-            back.connect(target).expect("an address");
-            let answers = back.try_clone().expect("a socket");
-            let front = front.try_clone().expect("a socket");
+        let upstream = upstream_sockets.entry(sender).or_insert_with(|| {
+            let upstream = UdpSocket::bind("127.0.0.1:0").expect("a port");
+            upstream.connect(target).expect("an address");
+            let answers = upstream.try_clone().expect("a socket");
+            let listener_socket = listener_socket.try_clone().expect("a socket");
             let cut = Arc::clone(cut);
-            thread::spawn(move || relay_answers(&answers, &front, sender, &cut));
-            back
+            thread::spawn(move || relay_replies(&answers, &listener_socket, sender, &cut));
+            upstream
         });
         // A dead target shows as an error here; the next datagram is tried all the same.
-        let _ = back.send(&buffer[..length]);
+        let _ = upstream.send(&buffer[..length]);
     }
 }
 
-fn relay_answers(back: &UdpSocket, front: &UdpSocket, sender: SocketAddr, cut: &AtomicBool) {
+fn relay_replies(
+    upstream: &UdpSocket,
+    listener_socket: &UdpSocket,
+    sender: SocketAddr,
+    cut: &AtomicBool,
+) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok(length) = back.recv(&mut buffer) else {
+        let Ok(length) = upstream.recv(&mut buffer) else {
             thread::yield_now();
             continue;
         };
         if !cut.load(Ordering::SeqCst) {
-            let _ = front.send_to(&buffer[..length], sender);
+            let _ = listener_socket.send_to(&buffer[..length], sender);
         }
     }
 }
@@ -78,14 +83,14 @@
         let cut = Arc::new(AtomicBool::new(false));
         let is_cut = Arc::clone(&cut);
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                wait_while(&is_cut);
-                let Ok(far) = TcpStream::connect(target) else { continue };
-                for (from, to) in [(&near, &far), (&far, &near)] {
+            for client in listener.incoming().flatten() {
+                wait_while_cut(&is_cut);
+                let Ok(server) = TcpStream::connect(target) else { continue };
+                for (from, to) in [(&client, &server), (&server, &client)] {
                     let from = from.try_clone().expect("a socket");
                     let to = to.try_clone().expect("a socket");
                     let cut = Arc::clone(&is_cut);
-                    thread::spawn(move || carry(from, to, &cut));
+                    thread::spawn(move || copy_until_closed(from, to, &cut));
                 }
             }
         });
@@ -97,16 +102,16 @@
     }
 }
 
-fn wait_while(cut: &AtomicBool) {
+fn wait_while_cut(cut: &AtomicBool) {
     while cut.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
+fn copy_until_closed(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while let Ok(length @ 1..) = from.read(&mut buffer) {
-        wait_while(cut);
+        wait_while_cut(cut);
         if to.write_all(&buffer[..length]).is_err() {
             return;
         }
--- a/crates/app/tests/support/mod.rs
+++ b/crates/app/tests/support/mod.rs
@@ -16,9 +16,9 @@
 const STANDIN: &str = env!("CARGO_BIN_EXE_loftdrift-standin");
 const SERVICE: &str = "10.20.0.1:80";
 const UDP_SERVICE: &str = "10.20.0.9:53";
-const ANY: &str = "127.0.0.1:0";
+const ANY_PORT: &str = "127.0.0.1:0";
 /// Bounds every wait; reaching it fails the test.
-const PATIENCE: Duration = Duration::from_secs(60);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A process that is killed when it is dropped.
 pub struct Process {
@@ -64,12 +64,12 @@
 }
 
 /// What the callers stand-in printed.
-pub struct Seen {
+pub struct CallerReport {
     text: String,
     pub succeeded: bool,
 }
 
-impl Seen {
+impl CallerReport {
     /// A count by its name, 0 when it is missing.
     pub fn count(&self, name: &str) -> u64 {
         let counts: serde_json::Value = serde_json::from_str(&self.text).expect("a JSON object");
@@ -77,7 +77,7 @@
     }
 }
 
-impl std::fmt::Debug for Seen {
+impl std::fmt::Debug for CallerReport {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.write_str(&self.text)
     }
@@ -94,15 +94,15 @@
 
 impl Cluster {
     pub fn start(balancers: usize, backends: usize) -> Cluster {
-        let platform = Process::start(STANDIN, &["platform", "--listen", ANY], 1);
+        let platform = Process::start(STANDIN, &["platform", "--listen", ANY_PORT], 1);
         let settings = format!(
-            "role = \"fabric\"\nlisten = \"{ANY}\"\nplatform = \"{}\"\n\
-             [[listeners]]\nlisten = \"{ANY}\"\nservice = \"{SERVICE}\"\n\
-             [[listeners]]\nlisten = \"{ANY}\"\nservice = \"{UDP_SERVICE}\"\n\
+            "role = \"fabric\"\nlisten = \"{ANY_PORT}\"\nplatform = \"{}\"\n\
+             [[listeners]]\nlisten = \"{ANY_PORT}\"\nservice = \"{SERVICE}\"\n\
+             [[listeners]]\nlisten = \"{ANY_PORT}\"\nservice = \"{UDP_SERVICE}\"\n\
              transport = \"udp\"\n",
             platform.addresses[0]
         );
-        let file = std::env::temp_dir().join(format!("loftdrift-fabric-{}.toml", unique()));
+        let file = std::env::temp_dir().join(format!("loftdrift-fabric-{}.toml", unique_suffix()));
         std::fs::write(&file, settings).expect("a settings file");
         let path = file.to_str().expect("a path");
         let fabric = Process::start(STANDIN, &["fabric", "--config", path], 3);
@@ -130,7 +130,7 @@
     /// Starts a back end and its agent; returns the agent's address.
     pub fn start_backend(&mut self) -> SocketAddr {
         let name = format!("tiles-{}", self.backends.len() + 1);
-        let arguments = ["backend", "--listen", ANY, "--service", "tiles", "--name", &name];
+        let arguments = ["backend", "--listen", ANY_PORT, "--service", "tiles", "--name", &name];
         self.backends.push(Process::start(STANDIN, &arguments, 1));
         let agent = self.start_agent(&name);
         let address = agent.addresses[0];
@@ -144,9 +144,9 @@
         let arguments = [
             "agent",
             "--listen",
-            ANY,
+            ANY_PORT,
             "--metrics",
-            ANY,
+            ANY_PORT,
             "--backend",
             backend,
             "--fabric",
@@ -183,7 +183,8 @@
 
     pub fn start_balancer(&mut self) -> SocketAddr {
         let platform = self.platform_address();
-        let arguments = ["balancer", "--listen", ANY, "--metrics", ANY, "--platform", &platform];
+        let arguments =
+            ["balancer", "--listen", ANY_PORT, "--metrics", ANY_PORT, "--platform", &platform];
         let balancer = Process::start(LOFTDRIFT, &arguments, 2);
         let address = balancer.addresses[0];
         self.balancers.push(balancer);
@@ -294,26 +295,26 @@
 }
 
 /// Waits for callers to end and reads what they saw.
-pub fn finish_callers(callers: Child) -> Seen {
+pub fn finish_callers(callers: Child) -> CallerReport {
     let output = callers.wait_with_output().expect("an end");
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
-    Seen { text, succeeded: output.status.success() }
+    CallerReport { text, succeeded: output.status.success() }
 }
 
 /// Waits until a condition holds; fails when it never does.
-pub fn wait_for(what: &str, condition: impl Fn() -> bool) {
-    let give_up = Instant::now() + PATIENCE;
+pub fn wait_for(description: &str, condition: impl Fn() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < give_up, "waited in vain for {what}");
-        pause(50);
+        assert!(Instant::now() < deadline, "timed out waiting for {description}");
+        sleep_ms(50);
     }
 }
 
-pub fn pause(milliseconds: u64) {
+pub fn sleep_ms(milliseconds: u64) {
     std::thread::sleep(Duration::from_millis(milliseconds));
 }
 
-fn unique() -> String {
+fn unique_suffix() -> String {
     format!("{}-{:?}", std::process::id(), Instant::now())
         .chars()
         .filter(char::is_ascii_alphanumeric)
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -60,11 +60,11 @@
 
 /// A whole JSON answer with its headers.
 #[derive(Clone, Debug)]
-pub struct JsonResponse<A> {
+pub struct JsonResponse<T> {
     /// The headers.
     pub headers: HeaderMap,
     /// The body's value.
-    pub body: A,
+    pub body: T,
 }
 
 /// A client of one server.
@@ -96,66 +96,66 @@
     }
 
     /// Sends a JSON request and reads the whole JSON answer.
-    pub async fn send_json<Q: Serialize, A: DeserializeOwned>(
+    pub async fn send_json<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
-        body: &Q,
-    ) -> Result<A, HttpError> {
+        body: &B,
+    ) -> Result<T, HttpError> {
         Ok(self.send_json_for_response(method, path, body).await?.body)
     }
 
     /// The same, with the answer's headers.
-    pub async fn send_json_for_response<Q: Serialize, A: DeserializeOwned>(
+    pub async fn send_json_for_response<B: Serialize, T: DeserializeOwned>(
         &self,
         method: Method,
         path: &str,
-        body: &Q,
-    ) -> Result<JsonResponse<A>, HttpError> {
-        let body = serde_json::to_vec(body).map_err(|error| self.malformed(error))?;
-        self.send_bytes(method, path, Bytes::from(body), self.timeout).await
+        body: &B,
+    ) -> Result<JsonResponse<T>, HttpError> {
+        let body = serde_json::to_vec(body).map_err(|error| self.malformed_error(error))?;
+        self.request_json(method, path, Bytes::from(body), self.timeout).await
     }
 
-    async fn send_bytes<A: DeserializeOwned>(
+    async fn request_json<T: DeserializeOwned>(
         &self,
         method: Method,
         target: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<JsonResponse<A>, HttpError> {
-        let whole = async {
+    ) -> Result<JsonResponse<T>, HttpError> {
+        let exchange = async {
             let response = self.send_body(method, target, body).await?;
             let (head, body) = response.into_parts();
             let bytes = body.collect().await.map_err(|error| self.connection_error(error))?;
             Ok((head.headers, bytes.to_bytes()))
         };
-        let answer = tokio::time::timeout(timeout, whole).await;
+        let answer = tokio::time::timeout(timeout, exchange).await;
         let (headers, bytes) = answer.map_err(|_| self.timeout_error(timeout))??;
-        self.count(bytes.len());
-        let body = serde_json::from_slice(&bytes).map_err(|error| self.malformed(error))?;
+        self.count_bytes(bytes.len());
+        let body = serde_json::from_slice(&bytes).map_err(|error| self.malformed_error(error))?;
         Ok(JsonResponse { headers, body })
     }
 
     /// Reads the whole JSON answer to a request without a body.
-    pub async fn get_json<A: DeserializeOwned>(&self, target: &str) -> Result<A, HttpError> {
+    pub async fn get_json<T: DeserializeOwned>(&self, target: &str) -> Result<T, HttpError> {
         Ok(self.get_json_response_within(target, self.timeout).await?.body)
     }
 
     /// The same, with the answer's headers.
-    pub async fn get_json_response<A: DeserializeOwned>(
+    pub async fn get_json_response<T: DeserializeOwned>(
         &self,
         target: &str,
-    ) -> Result<JsonResponse<A>, HttpError> {
+    ) -> Result<JsonResponse<T>, HttpError> {
         self.get_json_response_within(target, self.timeout).await
     }
 
     /// The same for an answer that may take another time than this client's other ones.
-    pub async fn get_json_response_within<A: DeserializeOwned>(
+    pub async fn get_json_response_within<T: DeserializeOwned>(
         &self,
         target: &str,
         timeout: Duration,
-    ) -> Result<JsonResponse<A>, HttpError> {
-        self.send_bytes(Method::GET, target, Bytes::new(), timeout).await
+    ) -> Result<JsonResponse<T>, HttpError> {
+        self.request_json(Method::GET, target, Bytes::new(), timeout).await
     }
 
     /// Sends a request without a body; only the answer's status matters.
@@ -167,10 +167,10 @@
     }
 
     /// Sends a JSON request whose answer is an endless stream of JSON lines.
-    pub async fn open_stream<Q: Serialize>(
+    pub async fn open_stream<B: Serialize>(
         &self,
         path: &str,
-        body: &Q,
+        body: &B,
     ) -> Result<LineStream, HttpError> {
         let opened = self.send(Method::POST, path, body);
         let opened = tokio::time::timeout(self.timeout, opened).await;
@@ -178,13 +178,13 @@
         Ok(LineStream { client: self.clone(), body: response.into_body(), buffer: BytesMut::new() })
     }
 
-    async fn send<Q: Serialize>(
+    async fn send<B: Serialize>(
         &self,
         method: Method,
         path: &str,
-        body: &Q,
+        body: &B,
     ) -> Result<Response<Incoming>, HttpError> {
-        let body = serde_json::to_vec(body).map_err(|error| self.malformed(error))?;
+        let body = serde_json::to_vec(body).map_err(|error| self.malformed_error(error))?;
         self.send_body(method, path, Bytes::from(body)).await
     }
 
@@ -194,7 +194,7 @@
         target: &str,
         body: Bytes,
     ) -> Result<Response<Incoming>, HttpError> {
-        self.count(body.len());
+        self.count_bytes(body.len());
         let request = Request::builder()
             .method(method)
             .uri(format!("http://{}{target}", self.server))
@@ -213,7 +213,7 @@
         Err(HttpError::Status { server: self.server, status, body })
     }
 
-    fn count(&self, bytes: usize) {
+    fn count_bytes(&self, bytes: usize) {
         self.bytes.fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
@@ -226,7 +226,7 @@
         HttpError::Connection { server: self.server, reason: format!("{error}{cause}") }
     }
 
-    fn malformed(&self, error: serde_json::Error) -> HttpError {
+    fn malformed_error(&self, error: serde_json::Error) -> HttpError {
         HttpError::Malformed { server: self.server, reason: error.to_string() }
     }
 }
@@ -241,7 +241,7 @@
 
 impl LineStream {
     /// The next line's value; `None` when the stream ends.
-    pub async fn next<A: DeserializeOwned>(&mut self) -> Result<Option<A>, HttpError> {
+    pub async fn next<T: DeserializeOwned>(&mut self) -> Result<Option<T>, HttpError> {
         loop {
             if let Some(end) = self.buffer.iter().position(|byte| *byte == b'\n') {
                 let line = self.buffer.split_to(end + 1);
@@ -249,7 +249,7 @@
                     continue;
                 }
                 let value = serde_json::from_slice(&line);
-                return value.map(Some).map_err(|error| self.client.malformed(error));
+                return value.map(Some).map_err(|error| self.client.malformed_error(error));
             }
             let Some(frame) = self.body.frame().await else {
                 return Ok(None);
@@ -258,7 +258,7 @@
             let Ok(data) = frame.into_data() else {
                 continue;
             };
-            self.client.count(data.len());
+            self.client.count_bytes(data.len());
             self.buffer.extend_from_slice(&data);
             if self.buffer.len() > MAX_LINE_BYTES {
                 let server = self.client.server;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -35,8 +35,8 @@
         let handler = handler.clone();
         tokio::spawn(async move {
             let service = service_fn(move |request| {
-                let answer = handler(request);
-                async move { answer.await.ok_or(CutConnection) }
+                let response = handler(request);
+                async move { response.await.ok_or(ConnectionAborted) }
             });
             let connection = hyper::server::conn::http1::Builder::new()
                 .timer(TokioTimer::new())
@@ -50,7 +50,7 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error("the connection is cut without an answer")]
-struct CutConnection;
+struct ConnectionAborted;
 
 /// A body that is whole.
 pub fn full_body(bytes: impl Into<Bytes>) -> ResponseBody {
@@ -61,16 +61,16 @@
 pub fn json_response<T: Serialize>(status: StatusCode, value: &T) -> HttpResponse {
     // The answers are plain data with string keys, which always serialize.
     let body = serde_json::to_vec(value).unwrap_or_default();
-    let mut answer = Response::new(full_body(body));
-    *answer.status_mut() = status;
+    let mut response = Response::new(full_body(body));
+    *response.status_mut() = status;
     let json = hyper::header::HeaderValue::from_static("application/json");
-    answer.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
-    answer
+    response.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
+    response
 }
 
 /// A plain text answer.
 pub fn text_response(status: StatusCode, text: impl Into<Bytes>) -> HttpResponse {
-    let mut answer = Response::new(full_body(text));
-    *answer.status_mut() = status;
-    answer
+    let mut response = Response::new(full_body(text));
+    *response.status_mut() = status;
+    response
 }
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -32,10 +32,10 @@
 /// Names the back end that answered.
 pub const BACKEND_HEADER: HeaderName = HeaderName::from_static("x-backend");
 
-const RECORD_QUEUE: usize = 1_024;
-const MAX_CONTENT_BYTES: u64 = 1 << 32;
+const EXECUTION_LOG_QUEUE_CAPACITY: usize = 1_024;
+const MAX_BODY_BYTES: u64 = 1 << 32;
 /// Cold back ends work so much slower.
-const COLD_FACTOR: u32 = 3;
+const COLD_WORK_FACTOR: u32 = 3;
 const RETRY_AFTER_SECONDS: HeaderValue = HeaderValue::from_static("1");
 
 /// How a back end behaves.
@@ -48,9 +48,9 @@
     /// Requests that it works on at a time.
     pub slots: usize,
     /// Requests that may wait for a slot.
-    pub queue: u64,
+    pub queue_capacity: u64,
     /// Time a request takes.
-    pub work: Duration,
+    pub work_duration: Duration,
     /// Time from the start during which work takes longer.
     pub cold_start: Duration,
     /// The load page tells the load of so long ago.
@@ -66,8 +66,8 @@
     pub runs: u64,
 }
 
-enum RecordMessage {
-    Ran(String),
+enum ExecutionLogMessage {
+    Record(String),
     List(oneshot::Sender<Vec<Execution>>),
 }
 
@@ -76,25 +76,25 @@
     settings: Arc<BackendSettings>,
     started: Instant,
     slots: Arc<Semaphore>,
-    present: Arc<AtomicU64>,
-    record: mpsc::Sender<RecordMessage>,
-    shown_load: Arc<AtomicU64>,
+    admitted_requests: Arc<AtomicU64>,
+    execution_log: mpsc::Sender<ExecutionLogMessage>,
+    published_load: Arc<AtomicU64>,
 }
 
 /// Serves a back end on a listener until the task is dropped.
 pub async fn serve(listener: TcpListener, settings: BackendSettings) {
-    let (record, messages) = mpsc::channel(RECORD_QUEUE);
+    let (execution_log, messages) = mpsc::channel(EXECUTION_LOG_QUEUE_CAPACITY);
     let backend = Backend {
         started: Instant::now(),
         slots: Arc::new(Semaphore::new(settings.slots)),
-        present: Arc::default(),
-        record,
-        shown_load: Arc::default(),
+        admitted_requests: Arc::default(),
+        execution_log,
+        published_load: Arc::default(),
         settings: Arc::new(settings),
     };
     let mut background = tokio::task::JoinSet::new();
-    background.spawn(keep_record(messages));
-    background.spawn(show_load(backend.clone()));
+    background.spawn(run_execution_log(messages));
+    background.spawn(publish_load(backend.clone()));
     loftdrift_http::serve(listener, move |request| {
         let backend = backend.clone();
         async move { Some(backend.handle(request).await) }
@@ -102,34 +102,34 @@
     .await;
 }
 
-async fn keep_record(mut messages: mpsc::Receiver<RecordMessage>) {
+async fn run_execution_log(mut messages: mpsc::Receiver<ExecutionLogMessage>) {
     let mut runs: BTreeMap<String, u64> = BTreeMap::new();
     while let Some(message) = messages.recv().await {
         match message {
-            RecordMessage::Ran(request) => *runs.entry(request).or_default() += 1,
-            RecordMessage::List(reply) => {
-                let listed = runs.iter();
-                let listed = listed
+            ExecutionLogMessage::Record(request) => *runs.entry(request).or_default() += 1,
+            ExecutionLogMessage::List(reply) => {
+                let executions = runs.iter();
+                let executions = executions
                     .map(|(request, runs)| Execution { request: request.clone(), runs: *runs });
                 // Whoever asked may have gone.
-                let _ = reply.send(listed.collect());
+                let _ = reply.send(executions.collect());
             }
         }
     }
 }
 
-async fn show_load(backend: Backend) {
+async fn publish_load(backend: Backend) {
     loop {
-        let load = backend.present.load(Ordering::Relaxed);
+        let load = backend.admitted_requests.load(Ordering::Relaxed);
         tokio::time::sleep(backend.settings.load_lag.max(Duration::from_millis(10))).await;
-        backend.shown_load.store(load, Ordering::Relaxed);
+        backend.published_load.store(load, Ordering::Relaxed);
     }
 }
 
 /// Counts a request as present until it is dropped.
-struct Presence(Arc<AtomicU64>);
+struct RequestGuard(Arc<AtomicU64>);
 
-impl Drop for Presence {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -138,17 +138,17 @@
 impl Backend {
     async fn handle(self, request: Request<Incoming>) -> HttpResponse {
         let path = request.uri().path().to_owned();
-        let mut answer = match (request.method(), path.as_str()) {
+        let mut response = match (request.method(), path.as_str()) {
             (&Method::GET, "/standin/executions") => self.executions().await,
             (&Method::GET, "/load") => {
-                let load = self.shown_load.load(Ordering::Relaxed);
+                let load = self.published_load.load(Ordering::Relaxed);
                 text_response(StatusCode::OK, load.to_string())
             }
             (&Method::GET, path) if path.starts_with("/bytes/") => self.bytes(&request, path).await,
             (&Method::POST, "/submit") => self.submit(request).await,
             _ => text_response(StatusCode::NOT_FOUND, "no such path"),
         };
-        let headers = answer.headers_mut();
+        let headers = response.headers_mut();
         for (name, value) in
             [(SERVICE_HEADER, &self.settings.service), (BACKEND_HEADER, &self.settings.name)]
         {
@@ -156,81 +156,83 @@
                 headers.insert(name, value);
             }
         }
-        answer
+        response
     }
 
     async fn executions(&self) -> HttpResponse {
-        let (reply, listed) = oneshot::channel();
+        let (reply, executions) = oneshot::channel();
         // The record lives as long as the server.
-        let _ = self.record.send(RecordMessage::List(reply)).await;
-        json_response(StatusCode::OK, &listed.await.unwrap_or_default())
+        let _ = self.execution_log.send(ExecutionLogMessage::List(reply)).await;
+        json_response(StatusCode::OK, &executions.await.unwrap_or_default())
     }
 
     async fn bytes(&self, request: &Request<Incoming>, path: &str) -> HttpResponse {
         let size = path.trim_start_matches("/bytes/").parse::<u64>();
-        let Some(size) = size.ok().filter(|size| *size <= MAX_CONTENT_BYTES) else {
+        let Some(size) = size.ok().filter(|size| *size <= MAX_BODY_BYTES) else {
             return text_response(StatusCode::BAD_REQUEST, "expected /bytes/SIZE?seed=N");
         };
         let query = request.uri().query().unwrap_or_default();
         let seed = query.strip_prefix("seed=").and_then(|seed| seed.parse().ok()).unwrap_or(0);
-        let Some(presence) = self.enter() else {
-            return self.refuse();
+        let Some(guard) = self.admit() else {
+            return self.overloaded_response();
         };
         self.work(request).await;
-        let content = ContentFrames { content: Content::new(seed, size), _presence: presence };
-        let mut answer = Response::new(BodyExt::boxed(StreamBody::new(content)));
-        answer.headers_mut().insert(hyper::header::CONTENT_LENGTH, HeaderValue::from(size));
-        answer
+        let content = BodyStream { content: Content::new(seed, size), _guard: guard };
+        let mut response = Response::new(BodyExt::boxed(StreamBody::new(content)));
+        response.headers_mut().insert(hyper::header::CONTENT_LENGTH, HeaderValue::from(size));
+        response
     }
 
     async fn submit(&self, request: Request<Incoming>) -> HttpResponse {
-        let Some(_presence) = self.enter() else {
-            return self.refuse();
+        let Some(_guard) = self.admit() else {
+            return self.overloaded_response();
         };
-        let id = request.headers().get(&REQUEST_ID_HEADER).cloned();
+        let request_id = request.headers().get(&REQUEST_ID_HEADER).cloned();
         self.work(&request).await;
         // A body that does not arrive whole has no caller left to answer.
         let _ = request.into_body().collect().await;
-        let id = id.unwrap_or(HeaderValue::from_static(""));
-        text_response(StatusCode::OK, Bytes::copy_from_slice(id.as_bytes()))
+        let request_id = request_id.unwrap_or(HeaderValue::from_static(""));
+        text_response(StatusCode::OK, Bytes::copy_from_slice(request_id.as_bytes()))
     }
 
     /// Lets a request in unless the queue is full.
-    fn enter(&self) -> Option<Presence> {
-        let most = self.settings.slots as u64 + self.settings.queue;
-        let before = self.present.fetch_add(1, Ordering::Relaxed);
-        let presence = Presence(Arc::clone(&self.present));
-        (before < most).then_some(presence)
+    fn admit(&self) -> Option<RequestGuard> {
+        let capacity = self.settings.slots as u64 + self.settings.queue_capacity;
+        let requests_before = self.admitted_requests.fetch_add(1, Ordering::Relaxed);
+        let guard = RequestGuard(Arc::clone(&self.admitted_requests));
+        (requests_before < capacity).then_some(guard)
     }
 
-    fn refuse(&self) -> HttpResponse {
-        let mut answer =
+    fn overloaded_response(&self) -> HttpResponse {
+        let mut response =
             text_response(StatusCode::SERVICE_UNAVAILABLE, "the queue is full; not run");
-        answer.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_SECONDS);
-        answer
+        response.headers_mut().insert(RETRY_AFTER, RETRY_AFTER_SECONDS);
+        response
     }
 
     /// Waits for a slot, notes that the request runs, and works.
     async fn work(&self, request: &Request<Incoming>) {
         let slot = self.slots.acquire().await;
-        let id = request.headers().get(&REQUEST_ID_HEADER).and_then(|id| id.to_str().ok());
-        if let Some(id) = id {
+        let request_id =
+            request.headers().get(&REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
+        if let Some(request_id) = request_id {
             // The record lives as long as the server.
-            let _ = self.record.send(RecordMessage::Ran(id.to_owned())).await;
+            let _ =
+                self.execution_log.send(ExecutionLogMessage::Record(request_id.to_owned())).await;
         }
         let cold = self.started.elapsed() < self.settings.cold_start;
-        let work = self.settings.work * if cold { COLD_FACTOR } else { 1 };
-        tokio::time::sleep(work).await;
+        let work_duration = self.settings.work_duration * if cold { COLD_WORK_FACTOR } else { 1 };
+        tokio::time::sleep(work_duration).await;
         drop(slot);
     }
 }
 
-struct ContentFrames {
+struct BodyStream {
     content: Content,
-    _presence: Presence,
+    _guard: RequestGuard,
 }
 
-impl futures_core::Stream for ContentFrames {
+impl futures_core::Stream for BodyStream {
     type Item = Result<Frame<Bytes>, std::io::Error>;
 
     fn poll_next(
--- a/crates/standin/src/callers.rs
+++ b/crates/standin/src/callers.rs
@@ -57,16 +57,16 @@
     /// A request was sent; its identity.
     Sent(String),
     /// The whole and right answer came.
-    Whole {
+    Completed {
         /// The request.
         request: String,
         /// It was a submission.
         submission: bool,
     },
     /// The answer was not whole or not the one asked for.
-    Wrong(String),
+    InvalidResponse(String),
     /// The service said that the request has not run.
-    RefusedNotRun(String),
+    Rejected(String),
     /// Another service's back end answered.
     Misdelivered(String),
 }
@@ -79,8 +79,8 @@
     stop: watch::Receiver<bool>,
 ) {
     let seed = settings.seed ^ caller.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-    let random = ChaCha8Rng::seed_from_u64(seed);
-    let mut caller = Caller { settings, caller, random, events, stop, next_request: 0 };
+    let rng = ChaCha8Rng::seed_from_u64(seed);
+    let mut caller = Caller { settings, caller, rng, events, stop, next_request_number: 0 };
     while !*caller.stop.borrow() {
         if let Err(cause) = caller.run_flow().await {
             caller.report(CallerEvent::Broken(cause)).await;
@@ -92,13 +92,13 @@
 struct Caller {
     settings: CallerSettings,
     caller: u64,
-    random: ChaCha8Rng,
+    rng: ChaCha8Rng,
     events: mpsc::Sender<CallerEvent>,
     stop: watch::Receiver<bool>,
-    next_request: u64,
+    next_request_number: u64,
 }
 
-enum Want {
+enum RequestKind {
     Fetch { size: u64, seed: u64 },
     Submit,
 }
@@ -119,8 +119,8 @@
         let (mut sender, connection) = opened.map_err(|_| BreakCause::Cut)?;
         let connection = tokio::spawn(connection);
         self.report(CallerEvent::Opened).await;
-        let (least, most) = self.settings.requests_per_flow;
-        for _ in 0..self.random.random_range(least..=most) {
+        let (min, max) = self.settings.requests_per_flow;
+        for _ in 0..self.rng.random_range(min..=max) {
             if *self.stop.borrow() {
                 break;
             }
@@ -133,21 +133,23 @@
         Ok(())
     }
 
-    fn next_want(&mut self) -> Want {
-        if self.random.random_bool(self.settings.submit_share) {
-            return Want::Submit;
+    fn next_request_kind(&mut self) -> RequestKind {
+        if self.rng.random_bool(self.settings.submit_share) {
+            return RequestKind::Submit;
         }
-        let (least, most) = self.settings.body_bytes;
-        Want::Fetch { size: self.random.random_range(least..=most), seed: self.random.random() }
+        let (min, max) = self.settings.body_bytes;
+        RequestKind::Fetch { size: self.rng.random_range(min..=max), seed: self.rng.random() }
     }
 
     async fn request(&mut self, sender: &mut SendRequest<Empty<Bytes>>) -> Result<(), BreakCause> {
-        let want = self.next_want();
-        let id = format!("{}-{}-{}", self.settings.service, self.caller, self.next_request);
-        self.next_request += 1;
-        let (method, path) = match &want {
-            Want::Fetch { size, seed } => (Method::GET, format!("/bytes/{size}?seed={seed}")),
-            Want::Submit => (Method::POST, "/submit".to_owned()),
+        let kind = self.next_request_kind();
+        let id = format!("{}-{}-{}", self.settings.service, self.caller, self.next_request_number);
+        self.next_request_number += 1;
+        let (method, path) = match &kind {
+            RequestKind::Fetch { size, seed } => {
+                (Method::GET, format!("/bytes/{size}?seed={seed}"))
+            }
+            RequestKind::Submit => (Method::POST, "/submit".to_owned()),
         };
         let request = Request::builder()
             .method(method)
@@ -157,37 +159,37 @@
             .body(Empty::new())
             .map_err(|_| BreakCause::Cut)?;
         self.report(CallerEvent::Sent(id.clone())).await;
-        let answer = sender.send_request(request).await.map_err(|_| BreakCause::Cut)?;
-        let service = answer.headers().get(&SERVICE_HEADER);
+        let response = sender.send_request(request).await.map_err(|_| BreakCause::Cut)?;
+        let service = response.headers().get(&SERVICE_HEADER);
         if service.is_none_or(|service| service.as_bytes() != self.settings.service.as_bytes()) {
             self.report(CallerEvent::Misdelivered(id)).await;
             return Ok(());
         }
-        let status = answer.status();
-        let mut check = match &want {
-            Want::Fetch { size, seed } => Some(ContentCheck::new(*seed, *size)),
-            Want::Submit => None,
+        let status = response.status();
+        let mut check = match &kind {
+            RequestKind::Fetch { size, seed } => Some(ContentCheck::new(*seed, *size)),
+            RequestKind::Submit => None,
         };
         let mut text = Vec::new();
-        let mut body = answer.into_body();
+        let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             let Ok(data) = frame.map_err(|_| BreakCause::Cut)?.into_data() else {
                 continue;
             };
             match &mut check {
-                Some(check) if status == StatusCode::OK => check.take(data),
+                Some(check) if status == StatusCode::OK => check.push(data),
                 _ => text.extend_from_slice(&data),
             }
         }
-        let whole = match check {
-            Some(check) => check.is_whole(),
+        let is_valid = match check {
+            Some(check) => check.is_complete(),
             None => text == id.as_bytes(),
         };
-        let submission = matches!(want, Want::Submit);
+        let submission = matches!(kind, RequestKind::Submit);
         self.report(match status {
-            StatusCode::SERVICE_UNAVAILABLE => CallerEvent::RefusedNotRun(id),
-            StatusCode::OK if whole => CallerEvent::Whole { request: id, submission },
-            _ => CallerEvent::Wrong(id),
+            StatusCode::SERVICE_UNAVAILABLE => CallerEvent::Rejected(id),
+            StatusCode::OK if is_valid => CallerEvent::Completed { request: id, submission },
+            _ => CallerEvent::InvalidResponse(id),
         })
         .await;
         Ok(())
--- a/crates/standin/src/content.rs
+++ b/crates/standin/src/content.rs
@@ -10,14 +10,14 @@
 /// The chunks of a body.
 #[derive(Debug)]
 pub struct Content {
-    random: ChaCha8Rng,
-    left: u64,
+    rng: ChaCha8Rng,
+    remaining_bytes: u64,
 }
 
 impl Content {
     /// The body of `size` bytes that belongs to `seed`.
     pub fn new(seed: u64, size: u64) -> Self {
-        Content { random: ChaCha8Rng::seed_from_u64(seed), left: size }
+        Content { rng: ChaCha8Rng::seed_from_u64(seed), remaining_bytes: size }
     }
 }
 
@@ -25,14 +25,14 @@
     type Item = Bytes;
 
     fn next(&mut self) -> Option<Bytes> {
-        if self.left == 0 {
+        if self.remaining_bytes == 0 {
             return None;
         }
-        let length = self.left.min(CHUNK_BYTES as u64);
+        let length = self.remaining_bytes.min(CHUNK_BYTES as u64);
         let mut chunk = vec![0; CHUNK_BYTES];
-        self.random.fill_bytes(&mut chunk);
+        self.rng.fill_bytes(&mut chunk);
         chunk.truncate(length as usize);
-        self.left -= length;
+        self.remaining_bytes -= length;
         Some(Bytes::from(chunk))
     }
 }
@@ -52,19 +52,19 @@
     }
 
     /// Takes the next piece.
-    pub fn take(&mut self, mut piece: Bytes) {
-        while !piece.is_empty() && self.matches {
+    pub fn push(&mut self, mut chunk: Bytes) {
+        while !chunk.is_empty() && self.matches {
             if self.expected.is_empty() {
                 self.expected = self.content.next().unwrap_or_default();
             }
-            let length = piece.len().min(self.expected.len());
-            let same = length > 0 && piece.split_to(length) == self.expected.split_to(length);
+            let length = chunk.len().min(self.expected.len());
+            let same = length > 0 && chunk.split_to(length) == self.expected.split_to(length);
             self.matches &= same;
         }
     }
 
     /// Whether all of the body has arrived, and nothing else.
-    pub fn is_whole(mut self) -> bool {
+    pub fn is_complete(mut self) -> bool {
         self.matches && self.expected.is_empty() && self.content.next().is_none()
     }
 }
--- a/crates/standin/src/fabric.rs
+++ b/crates/standin/src/fabric.rs
@@ -4,7 +4,7 @@
 //! balancers chosen at random, so any TCP client uses the real path unchanged. Balancers come
 //! from the settings and from the machine list; one that stops answering probes gets no packets.
 
-use crate::udp_listener::{self, CallerAnswer, CallerDatagram};
+use crate::udp_listener::{self, CallerDatagram, CallerReply};
 use bytes::Bytes;
 use etherparse::PacketBuilder;
 use loftdrift_flow::{
@@ -29,16 +29,16 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-const EVENT_QUEUE: usize = 4_096;
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 const SOCKET_BUFFER_BYTES: usize = 4 * 1024 * 1024;
-const DATAGRAMS_A_TURN: usize = 64;
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
 const FLOW_BUFFER_BYTES: usize = 64 * 1024;
 const HOP_LIMIT: u8 = 64;
 const UDP_HEADER_BYTES: usize = 8;
-const PROBE_TICK: Duration = Duration::from_millis(20);
-const MACHINE_LIST_INTERVAL: Duration = Duration::from_millis(500);
-const PROBING: ProbeSettings = ProbeSettings {
+const PROBE_TICK_INTERVAL: Duration = Duration::from_millis(20);
+const MACHINE_LIST_POLL_INTERVAL: Duration = Duration::from_millis(500);
+const PROBE_SETTINGS: ProbeSettings = ProbeSettings {
     interval: Duration::from_millis(100),
     timeout: Duration::from_millis(100),
     misses: 3,
@@ -79,9 +79,9 @@
 /// A plain counter line of the fabric.
 #[derive(Clone, Copy, Debug, Default)]
 struct FabricCounters {
-    sprayed: u64,
-    returned: u64,
-    unclaimed: u64,
+    sent: u64,
+    received: u64,
+    unmatched: u64,
 }
 
 /// Serves the fabric until the task is dropped. `socket` exchanges GENEVE with balancers and
@@ -94,20 +94,20 @@
     // A smaller buffer only drops more under bursts.
     let _ = socket2::SockRef::from(&socket).set_recv_buffer_size(SOCKET_BUFFER_BYTES);
     let mut background = JoinSet::new();
-    let (accepted_sender, accepted) = mpsc::channel(EVENT_QUEUE);
-    let (datagram_sender, datagrams) = mpsc::channel(EVENT_QUEUE);
-    let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
+    let (accepted_sender, accepted) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let (datagram_sender, datagrams) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (balancer_sender, balancer_lists) = mpsc::channel(1);
-    let mut answers = HashMap::new();
+    let mut replies = HashMap::new();
     for listener in listeners {
         let service = listener.service;
         match listener.socket {
             ListenerSocket::Tcp(port) => {
-                background.spawn(accept(port, service, accepted_sender.clone()));
+                background.spawn(accept_connections(port, service, accepted_sender.clone()));
             }
             ListenerSocket::Udp(port) => {
-                let (sender, receiver) = mpsc::channel(EVENT_QUEUE);
-                answers.insert(service, sender);
+                let (sender, receiver) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+                replies.insert(service, sender);
                 background.spawn(udp_listener::run(
                     port,
                     service,
@@ -118,10 +118,10 @@
         }
     }
     if let Some(platform) = settings.platform {
-        let fixed = settings.balancers.clone();
-        background.spawn(follow_machines(platform, fixed, balancer_sender));
+        let configured = settings.balancers.clone();
+        background.spawn(poll_machine_list(platform, configured, balancer_sender));
     }
-    let mut fabric = Fabric::new(socket, &settings, answers, event_sender)?;
+    let mut fabric = Fabric::new(socket, &settings, replies, event_sender)?;
     fabric.prober.set_peers(Duration::ZERO, settings.balancers.iter().copied());
     fabric.run(Inputs { accepted, datagrams, events, balancer_lists }).await;
     Ok(())
@@ -133,7 +133,7 @@
     service: SocketAddrV4,
 }
 
-async fn accept(
+async fn accept_connections(
     listener: TcpListener,
     service: SocketAddrV4,
     accepted: mpsc::Sender<AcceptedStream>,
@@ -150,10 +150,10 @@
     }
 }
 
-async fn follow_machines(
+async fn poll_machine_list(
     platform: SocketAddr,
-    fixed: Vec<SocketAddrV4>,
-    lists: mpsc::Sender<Vec<SocketAddrV4>>,
+    configured: Vec<SocketAddrV4>,
+    balancer_lists: mpsc::Sender<Vec<SocketAddrV4>>,
 ) {
     let client = MachineListClient::new(platform);
     loop {
@@ -162,12 +162,12 @@
             let listed = list.machines.iter().filter(|machine| {
                 machine.role == MachineRole::Balancer && machine.state == MachineState::Live
             });
-            let balancers = fixed.iter().copied().chain(listed.map(|machine| machine.address));
-            if lists.send(balancers.collect()).await.is_err() {
+            let balancers = configured.iter().copied().chain(listed.map(|machine| machine.address));
+            if balancer_lists.send(balancers.collect()).await.is_err() {
                 return;
             }
         }
-        tokio::time::sleep(MACHINE_LIST_INTERVAL).await;
+        tokio::time::sleep(MACHINE_LIST_POLL_INTERVAL).await;
     }
 }
 
@@ -188,12 +188,12 @@
     started: Instant,
     chart: Arc<FlowChart>,
     prober: Prober,
-    living: Vec<SocketAddrV4>,
+    live_balancers: Vec<SocketAddrV4>,
     flows: FlowTable<FabricFlow>,
-    answers: HashMap<SocketAddrV4, mpsc::Sender<CallerAnswer>>,
+    replies: HashMap<SocketAddrV4, mpsc::Sender<CallerReply>>,
     events: mpsc::Sender<FlowSocketEvent>,
-    to_send: Vec<(SocketAddrV4, Vec<u8>)>,
-    random: ChaCha8Rng,
+    outgoing: Vec<(SocketAddrV4, Vec<u8>)>,
+    rng: ChaCha8Rng,
     timestamps: bool,
     counters: FabricCounters,
 }
@@ -202,20 +202,20 @@
     fn new(
         socket: UdpSocket,
         settings: &FabricSettings,
-        answers: HashMap<SocketAddrV4, mpsc::Sender<CallerAnswer>>,
+        replies: HashMap<SocketAddrV4, mpsc::Sender<CallerReply>>,
         events: mpsc::Sender<FlowSocketEvent>,
     ) -> anyhow::Result<Self> {
         Ok(Fabric {
             socket,
             started: Instant::now(),
             chart: Arc::new(flow_chart()?),
-            prober: Prober::new(PROBING),
-            living: settings.balancers.clone(),
+            prober: Prober::new(PROBE_SETTINGS),
+            live_balancers: settings.balancers.clone(),
             flows: FlowTable::default(),
-            answers,
+            replies,
             events,
-            to_send: Vec::new(),
-            random: ChaCha8Rng::seed_from_u64(settings.seed),
+            outgoing: Vec::new(),
+            rng: ChaCha8Rng::seed_from_u64(settings.seed),
             timestamps: settings.timestamps,
             counters: FabricCounters::default(),
         })
@@ -223,7 +223,7 @@
 
     async fn run(&mut self, mut inputs: Inputs) {
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        let mut tick = tokio::time::interval(PROBE_TICK);
+        let mut probe_tick = tokio::time::interval(PROBE_TICK_INTERVAL);
         loop {
             let deadline = self.flows.next_wake_up().map(|deadline| self.started + deadline);
             tokio::select! {
@@ -232,17 +232,17 @@
                         self.receive(&mut buffer);
                     }
                 }
-                Some(accepted) = inputs.accepted.recv() => self.open(accepted),
+                Some(accepted) = inputs.accepted.recv() => self.open_flow(accepted),
                 Some(datagram) = inputs.datagrams.recv() => self.send_datagram(&datagram),
-                Some(event) = inputs.events.recv() => self.handle_socket(event),
+                Some(event) = inputs.events.recv() => self.handle_socket_event(event),
                 Some(balancers) = inputs.balancer_lists.recv() => {
                     let now = self.now();
                     self.prober.set_peers(now, balancers.into_iter());
                 }
-                _ = tick.tick() => self.probe(),
+                _ = probe_tick.tick() => self.send_probes(),
                 () = sleep_until(deadline) => self.handle_timeouts(),
             }
-            self.flush().await;
+            self.send_outgoing().await;
         }
     }
 
@@ -251,7 +251,7 @@
     }
 
     fn receive(&mut self, buffer: &mut [u8]) {
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             let Ok((length, from)) = self.socket.try_recv_from(buffer) else {
                 return;
             };
@@ -264,7 +264,7 @@
     fn handle_datagram(&mut self, from: SocketAddrV4, datagram: &[u8]) {
         let now = self.now();
         let Ok(packet) = GenevePacket::parse(datagram) else {
-            self.counters.unclaimed += 1;
+            self.counters.unmatched += 1;
             return;
         };
         if packet.control {
@@ -274,37 +274,37 @@
             return;
         }
         let Ok(inner) = parse_inner(packet.inner) else {
-            self.counters.unclaimed += 1;
+            self.counters.unmatched += 1;
             return;
         };
         let key = inner.flow.reversed();
         if key.transport == Transport::Udp {
-            self.answer_datagram(&key, packet.inner, inner.transport_offset);
+            self.relay_reply(&key, packet.inner, inner.transport_offset);
             return;
         }
         let Some(flow) = self.flows.find(&key).filter(|_| segment_checksum_is_right(packet.inner))
         else {
-            self.counters.unclaimed += 1;
+            self.counters.unmatched += 1;
             return;
         };
-        self.counters.returned += 1;
+        self.counters.received += 1;
         if let Some(entry) = self.flows.get_mut(flow) {
             entry.body.splice.on_packet(now, packet.inner);
         }
-        self.settle(now, flow);
+        self.advance_flow(now, flow);
     }
 
-    fn answer_datagram(&mut self, key: &FlowKey, packet: &[u8], transport_offset: usize) {
+    fn relay_reply(&mut self, key: &FlowKey, packet: &[u8], transport_offset: usize) {
         let payload = packet.get(transport_offset + UDP_HEADER_BYTES..).unwrap_or_default();
         let payload = Bytes::copy_from_slice(payload);
-        if let Some(answers) = self.answers.get(&key.service) {
-            self.counters.returned += 1;
+        if let Some(replies) = self.replies.get(&key.service) {
+            self.counters.received += 1;
             // A full queue drops the answer, as a full port would.
-            let _ = answers.try_send(CallerAnswer { caller: key.caller, payload });
+            let _ = replies.try_send(CallerReply { caller: key.caller, payload });
         }
     }
 
-    fn open(&mut self, accepted: AcceptedStream) {
+    fn open_flow(&mut self, accepted: AcceptedStream) {
         let now = self.now();
         let AcceptedStream { stream, caller, service } = accepted;
         let key = FlowKey { caller, service, transport: Transport::Tcp };
@@ -316,7 +316,7 @@
         let settings = EndpointSettings {
             buffer_bytes: FLOW_BUFFER_BYTES,
             timestamps,
-            sequence_seed: self.random.random(),
+            sequence_seed: self.rng.random(),
         };
         let endpoint = Endpoint::connect(now, &key, &settings);
         let splice = SplicedFlow::new(endpoint, Arc::clone(&self.chart), None);
@@ -328,7 +328,7 @@
         if let Some(entry) = self.flows.get_mut(flow) {
             entry.body.splice.pump(now);
         }
-        self.settle(now, flow);
+        self.advance_flow(now, flow);
     }
 
     fn send_datagram(&mut self, datagram: &CallerDatagram) {
@@ -337,16 +337,16 @@
             .udp(caller.port(), service.port());
         let mut packet = Vec::with_capacity(builder.size(payload.len()));
         if builder.write(&mut packet, payload).is_ok() {
-            self.spray(&packet);
+            self.send_to_random_balancer(&packet);
         }
     }
 
-    fn handle_socket(&mut self, event: FlowSocketEvent) {
+    fn handle_socket_event(&mut self, event: FlowSocketEvent) {
         let now = self.now();
         if let Some(entry) = self.flows.get_mut(event.flow) {
             entry.body.splice.on_socket(now, event.event);
         }
-        self.settle(now, event.flow);
+        self.advance_flow(now, event.flow);
     }
 
     fn handle_timeouts(&mut self) {
@@ -355,11 +355,11 @@
             if let Some(entry) = self.flows.get_mut(flow) {
                 entry.body.splice.pump(now);
             }
-            self.settle(now, flow);
+            self.advance_flow(now, flow);
         }
     }
 
-    fn settle(&mut self, now: Duration, flow: FlowId) {
+    fn advance_flow(&mut self, now: Duration, flow: FlowId) {
         let Some(entry) = self.flows.get_mut(flow) else {
             return;
         };
@@ -378,30 +378,30 @@
         } else {
             self.flows.wake_by(flow, deadline);
         }
-        packets.iter().for_each(|packet| self.spray(packet));
+        packets.iter().for_each(|packet| self.send_to_random_balancer(packet));
     }
 
-    fn spray(&mut self, packet: &[u8]) {
-        let Some(balancer) = self.living.choose(&mut self.random).copied() else {
+    fn send_to_random_balancer(&mut self, packet: &[u8]) {
+        let Some(balancer) = self.live_balancers.choose(&mut self.rng).copied() else {
             return;
         };
-        self.counters.sprayed += 1;
-        self.to_send.push((balancer, encode_packet(0, None, packet)));
+        self.counters.sent += 1;
+        self.outgoing.push((balancer, encode_packet(0, None, packet)));
     }
 
-    fn probe(&mut self) {
+    fn send_probes(&mut self) {
         let now = self.now();
         for probe in self.prober.tick(now) {
-            self.to_send.push((probe.to, probe.echo.encode()));
+            self.outgoing.push((probe.to, probe.echo.encode()));
         }
         if self.prober.take_changed() {
-            self.living = self.prober.living().collect();
-            log::info!(balancers = self.living.len(); "balancers in use have changed");
+            self.live_balancers = self.prober.living().collect();
+            log::info!(balancers = self.live_balancers.len(); "balancers in use have changed");
         }
     }
 
-    async fn flush(&mut self) {
-        for (to, datagram) in std::mem::take(&mut self.to_send) {
+    async fn send_outgoing(&mut self) {
+        for (to, datagram) in std::mem::take(&mut self.outgoing) {
             // A datagram that is lost here is lost as on any network.
             let _ = self.socket.send_to(&datagram, to).await;
         }
--- a/crates/standin/src/key_value.rs
+++ b/crates/standin/src/key_value.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 /// Revisions of history that are kept for watches; older ones are compacted.
-const KEPT_REVISIONS: usize = 1_000;
+const MAX_HISTORY_REVISIONS: usize = 1_000;
 
 #[derive(Clone, Copy, Debug)]
 struct Lease {
     ttl: Duration,
-    ends_at: Duration,
+    expires_at: Duration,
 }
 
 /// What one revision changed.
@@ -33,13 +33,13 @@
     keys: BTreeMap<String, KeyValueMessage>,
     history: VecDeque<Change>,
     /// The newest revision that is no longer in the history.
-    compacted: u64,
+    compacted_revision: u64,
     leases: BTreeMap<u64, Lease>,
     next_lease: u64,
 }
 
 /// A store answer together with the change to tell watches about.
-pub type Changed<T> = (T, Option<Change>);
+pub type WithChange<T> = (T, Option<Change>);
 
 impl KeyValueStore {
     /// Reads keys.
@@ -50,17 +50,17 @@
     }
 
     /// Writes a key.
-    pub fn put(&mut self, request: PutRequest) -> Changed<PlainResponse> {
+    pub fn put(&mut self, request: PutRequest) -> WithChange<PlainResponse> {
         let operation = RequestOperation { request_put: Some(request), ..Default::default() };
-        let change = self.carry_out(vec![operation]);
+        let change = self.execute(vec![operation]);
         (PlainResponse { header: self.header() }, change)
     }
 
     /// Carries out a transaction.
-    pub fn transact(&mut self, request: TxnRequest) -> Changed<TxnResponse> {
-        let succeeded = request.compare.iter().all(|compare| self.holds(compare));
+    pub fn transact(&mut self, request: TxnRequest) -> WithChange<TxnResponse> {
+        let succeeded = request.compare.iter().all(|compare| self.is_satisfied(compare));
         let operations = if succeeded { request.success } else { request.failure };
-        let change = self.carry_out(operations);
+        let change = self.execute(operations);
         (TxnResponse { header: self.header(), succeeded }, change)
     }
 
@@ -69,7 +69,7 @@
         self.next_lease += 1;
         let id = if request.id.0 == 0 { self.next_lease } else { request.id.0 };
         let ttl = Duration::from_secs(request.ttl.0.max(1));
-        self.leases.insert(id, Lease { ttl, ends_at: now + ttl });
+        self.leases.insert(id, Lease { ttl, expires_at: now + ttl });
         LeaseResponse { header: self.header(), id: Number(id), ttl: Number(ttl.as_secs()) }
     }
 
@@ -77,17 +77,17 @@
     pub fn keep_alive(&mut self, now: Duration, id: u64) -> LeaseResponse {
         let mut ttl = 0;
         if let Some(lease) = self.leases.get_mut(&id) {
-            lease.ends_at = now + lease.ttl;
+            lease.expires_at = now + lease.ttl;
             ttl = lease.ttl.as_secs();
         }
         LeaseResponse { header: self.header(), id: Number(id), ttl: Number(ttl) }
     }
 
     /// Ends a lease and removes its keys.
-    pub fn revoke(&mut self, id: u64) -> Changed<PlainResponse> {
+    pub fn revoke(&mut self, id: u64) -> WithChange<PlainResponse> {
         self.leases.remove(&id);
-        let hanging = self.keys.values().filter(|kv| kv.lease.0 == id);
-        let keys: Vec<String> = hanging.map(|kv| kv.key.0.clone()).collect();
+        let attached = self.keys.values().filter(|kv| kv.lease.0 == id);
+        let keys: Vec<String> = attached.map(|kv| kv.key.0.clone()).collect();
         let change = self.record(|store, events, revision| {
             keys.iter().for_each(|key| store.remove(key, revision, events));
         });
@@ -96,20 +96,20 @@
 
     /// Ends the leases whose time has come.
     pub fn expire(&mut self, now: Duration) -> Vec<Change> {
-        let due = self.leases.iter().filter(|(_, lease)| lease.ends_at <= now);
+        let due = self.leases.iter().filter(|(_, lease)| lease.expires_at <= now);
         let due: Vec<u64> = due.map(|(id, _)| *id).collect();
         due.into_iter().filter_map(|id| self.revoke(id).1).collect()
     }
 
     /// The responses with which a watch begins: what has happened since its first revision.
-    pub fn begin_watch(&self, request: &WatchCreateRequest) -> Vec<WatchResponse> {
+    pub fn start_watch(&self, request: &WatchCreateRequest) -> Vec<WatchResponse> {
         let from = request.start_revision.0;
         let created = WatchResponse { header: self.header(), created: true, ..Default::default() };
-        if from != 0 && from <= self.compacted {
+        if from != 0 && from <= self.compacted_revision {
             let canceled = WatchResponse {
                 header: self.header(),
                 canceled: true,
-                compact_revision: Number(self.compacted),
+                compact_revision: Number(self.compacted_revision),
                 ..Default::default()
             };
             return vec![created, canceled];
@@ -123,12 +123,12 @@
         ResponseHeader { revision: Number(self.revision) }
     }
 
-    fn holds(&self, compare: &Compare) -> bool {
+    fn is_satisfied(&self, compare: &Compare) -> bool {
         let found = self.keys.get(&compare.key.0).map_or(0, |kv| kv.mod_revision.0);
         compare.target == "MOD" && compare.result == "EQUAL" && found == compare.mod_revision.0
     }
 
-    fn carry_out(&mut self, operations: Vec<RequestOperation>) -> Option<Change> {
+    fn execute(&mut self, operations: Vec<RequestOperation>) -> Option<Change> {
         self.record(|store, events, revision| {
             for operation in operations {
                 if let Some(put) = operation.request_put {
@@ -159,8 +159,8 @@
         self.revision = revision;
         let change = Change { revision, events };
         self.history.push_back(change.clone());
-        if self.history.len() > KEPT_REVISIONS {
-            self.compacted = self.history.pop_front().map_or(0, |oldest| oldest.revision);
+        if self.history.len() > MAX_HISTORY_REVISIONS {
+            self.compacted_revision = self.history.pop_front().map_or(0, |oldest| oldest.revision);
         }
         Some(change)
     }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -19,10 +19,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-const MESSAGE_QUEUE: usize = 1_024;
-const WATCH_QUEUE: usize = 1_024;
+const MESSAGE_QUEUE_CAPACITY: usize = 1_024;
+const WATCH_QUEUE_CAPACITY: usize = 1_024;
 const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
-const EXPIRY_TICK: Duration = Duration::from_millis(200);
+const LEASE_EXPIRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What goes wrong.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -47,14 +47,14 @@
 enum Admission {
     Serve,
     Unavailable,
-    TooMany,
-    Silent,
+    RateLimited,
+    NeverRespond,
 }
 
 enum Message {
     Admit(oneshot::Sender<(Admission, Duration)>),
     /// Whether this write's answer is to be lost.
-    LoseAnswer(oneshot::Sender<bool>),
+    LoseResponse(oneshot::Sender<bool>),
     Range(etcd::RangeRequest, oneshot::Sender<etcd::RangeResponse>),
     Put(etcd::PutRequest, oneshot::Sender<etcd::PlainResponse>),
     Transact(etcd::TxnRequest, oneshot::Sender<etcd::TxnResponse>),
@@ -87,16 +87,16 @@
     machines: BTreeMap<String, Vec<ListedMachine>>,
     faults: Faults,
     writes: u64,
-    second: u64,
+    current_second: u64,
     requests_this_second: u64,
 }
 
 /// Serves the platform on a listener until the task is dropped.
 pub async fn serve(listener: TcpListener, faults: Faults) {
-    let (sender, messages) = mpsc::channel(MESSAGE_QUEUE);
-    let state = tokio::spawn(run(messages, faults));
+    let (sender, messages) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+    let state_task = tokio::spawn(run(messages, faults));
     loftdrift_http::serve(listener, move |request| handle(request, sender.clone())).await;
-    state.abort();
+    state_task.abort();
 }
 
 async fn run(mut messages: mpsc::Receiver<Message>, faults: Faults) {
@@ -107,19 +107,19 @@
         machines: BTreeMap::new(),
         faults,
         writes: 0,
-        second: 0,
+        current_second: 0,
         requests_this_second: 0,
     };
-    let mut expiry = tokio::time::interval(EXPIRY_TICK);
+    let mut expiry = tokio::time::interval(LEASE_EXPIRY_INTERVAL);
     loop {
         tokio::select! {
             message = messages.recv() => match message {
-                Some(message) => platform.take(message),
+                Some(message) => platform.handle_message(message),
                 None => return,
             },
             _ = expiry.tick() => {
                 for change in platform.store.expire(platform.started.elapsed()) {
-                    platform.tell_watchers(Some(change));
+                    platform.notify_watchers(Some(change));
                 }
             }
         }
@@ -127,7 +127,7 @@
 }
 
 impl Platform {
-    fn take(&mut self, message: Message) {
+    fn handle_message(&mut self, message: Message) {
         let now = self.started.elapsed();
         // Whoever asked may have gone; then nobody needs the answer.
         match message {
@@ -135,30 +135,30 @@
                 let admission = self.admit(now);
                 let _ = reply.send((admission, Duration::from_millis(self.faults.delay_ms)));
             }
-            Message::LoseAnswer(reply) => {
+            Message::LoseResponse(reply) => {
                 self.writes += 1;
                 let every = self.faults.lose_every;
                 let _ = reply.send(every != 0 && self.writes.is_multiple_of(every));
             }
             Message::Range(request, reply) => drop(reply.send(self.store.range(&request))),
             Message::Put(request, reply) => {
-                let (answer, change) = self.store.put(request);
-                self.tell_watchers(change);
-                let _ = reply.send(answer);
+                let (response, change) = self.store.put(request);
+                self.notify_watchers(change);
+                let _ = reply.send(response);
             }
             Message::Transact(request, reply) => {
-                let (answer, change) = self.store.transact(request);
-                self.tell_watchers(change);
-                let _ = reply.send(answer);
+                let (response, change) = self.store.transact(request);
+                self.notify_watchers(change);
+                let _ = reply.send(response);
             }
             Message::Grant(request, reply) => drop(reply.send(self.store.grant(now, &request))),
             Message::KeepAlive(request, reply) => {
                 let _ = reply.send(self.store.keep_alive(now, request.id.0));
             }
             Message::Revoke(request, reply) => {
-                let (answer, change) = self.store.revoke(request.id.0);
-                self.tell_watchers(change);
-                let _ = reply.send(answer);
+                let (response, change) = self.store.revoke(request.id.0);
+                self.notify_watchers(change);
+                let _ = reply.send(response);
             }
             Message::Watch(request, sender) => self.watch(request, sender),
             Message::Machines(reply) => drop(reply.send(self.visible_machines(now))),
@@ -182,25 +182,25 @@
     }
 
     fn admit(&mut self, now: Duration) -> Admission {
-        if self.second != now.as_secs() {
-            self.second = now.as_secs();
+        if self.current_second != now.as_secs() {
+            self.current_second = now.as_secs();
             self.requests_this_second = 0;
         }
         self.requests_this_second += 1;
         let limit = self.faults.requests_per_second;
         if self.faults.silent {
-            Admission::Silent
+            Admission::NeverRespond
         } else if self.faults.outage {
             Admission::Unavailable
         } else if limit != 0 && self.requests_this_second > limit {
-            Admission::TooMany
+            Admission::RateLimited
         } else {
             Admission::Serve
         }
     }
 
     fn watch(&mut self, request: WatchCreateRequest, sender: mpsc::Sender<WatchResponse>) {
-        for response in self.store.begin_watch(&request) {
+        for response in self.store.start_watch(&request) {
             if sender.try_send(response).is_err() {
                 return;
             }
@@ -209,7 +209,7 @@
     }
 
     /// A watcher that does not keep up is cut, as etcd does.
-    fn tell_watchers(&mut self, change: Option<Change>) {
+    fn notify_watchers(&mut self, change: Option<Change>) {
         let Some(change) = change else { return };
         self.watchers.retain(|watcher| match watch_response(&change, &watcher.request) {
             Some(response) => watcher.sender.try_send(response).is_ok(),
@@ -241,36 +241,42 @@
         return handle_faults(request, &platform).await;
     }
     if path == "/standin/watchers" {
-        return Some(json_response(StatusCode::OK, &ask(&platform, Message::Watchers).await?));
+        return Some(json_response(StatusCode::OK, &call(&platform, Message::Watchers).await?));
     }
-    let (admission, delay) = ask(&platform, Message::Admit).await?;
+    let (admission, delay) = call(&platform, Message::Admit).await?;
     tokio::time::sleep(delay).await;
     match admission {
         Admission::Serve => {}
         Admission::Unavailable => {
             return Some(text_response(StatusCode::SERVICE_UNAVAILABLE, "outage"));
         }
-        Admission::TooMany => {
+        Admission::RateLimited => {
             return Some(text_response(StatusCode::TOO_MANY_REQUESTS, "rate limit"));
         }
-        Admission::Silent => std::future::pending::<()>().await,
+        Admission::NeverRespond => std::future::pending::<()>().await,
     }
     let method = request.method().clone();
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
     match (method, path.as_str()) {
-        (Method::POST, etcd::RANGE_PATH) => answer(&platform, &body, Message::Range).await,
-        (Method::POST, etcd::PUT_PATH) => write(&platform, &body, Message::Put).await,
-        (Method::POST, etcd::TXN_PATH) => write(&platform, &body, Message::Transact).await,
-        (Method::POST, etcd::LEASE_GRANT_PATH) => write(&platform, &body, Message::Grant).await,
+        (Method::POST, etcd::RANGE_PATH) => respond(&platform, &body, Message::Range).await,
+        (Method::POST, etcd::PUT_PATH) => respond_to_write(&platform, &body, Message::Put).await,
+        (Method::POST, etcd::TXN_PATH) => {
+            respond_to_write(&platform, &body, Message::Transact).await
+        }
+        (Method::POST, etcd::LEASE_GRANT_PATH) => {
+            respond_to_write(&platform, &body, Message::Grant).await
+        }
         (Method::POST, etcd::LEASE_KEEP_ALIVE_PATH) => {
-            answer(&platform, &body, Message::KeepAlive).await
+            respond(&platform, &body, Message::KeepAlive).await
+        }
+        (Method::POST, etcd::LEASE_REVOKE_PATH) => {
+            respond_to_write(&platform, &body, Message::Revoke).await
         }
-        (Method::POST, etcd::LEASE_REVOKE_PATH) => write(&platform, &body, Message::Revoke).await,
         (Method::POST, etcd::WATCH_PATH) => watch(&platform, &body).await,
         (Method::GET, "/machines") => {
-            Some(json_response(StatusCode::OK, &ask(&platform, Message::Machines).await?))
+            Some(json_response(StatusCode::OK, &call(&platform, Message::Machines).await?))
         }
-        (Method::PUT, "/machines") => answer(&platform, &body, Message::PutMachine).await,
+        (Method::PUT, "/machines") => respond(&platform, &body, Message::PutMachine).await,
         _ => Some(text_response(StatusCode::NOT_FOUND, "no such path")),
     }
 }
@@ -280,23 +286,23 @@
     platform: &mpsc::Sender<Message>,
 ) -> Option<HttpResponse> {
     if request.method() != Method::PUT {
-        return Some(json_response(StatusCode::OK, &ask(platform, Message::Faults).await?));
+        return Some(json_response(StatusCode::OK, &call(platform, Message::Faults).await?));
     }
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await.ok()?.to_bytes();
-    answer(platform, &body, Message::SetFaults).await
+    respond(platform, &body, Message::SetFaults).await
 }
 
 /// Sends a message that carries its own reply channel.
-async fn ask<A>(
+async fn call<A>(
     platform: &mpsc::Sender<Message>,
     message: impl FnOnce(oneshot::Sender<A>) -> Message,
 ) -> Option<A> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     platform.send(message(reply)).await.ok()?;
-    answer.await.ok()
+    response.await.ok()
 }
 
-async fn answer<Q: DeserializeOwned, A: Serialize>(
+async fn respond<Q: DeserializeOwned, A: Serialize>(
     platform: &mpsc::Sender<Message>,
     body: &Bytes,
     message: impl FnOnce(Q, oneshot::Sender<A>) -> Message,
@@ -305,19 +311,19 @@
         Ok(request) => request,
         Err(error) => return Some(text_response(StatusCode::BAD_REQUEST, error.to_string())),
     };
-    let answer = ask(platform, |reply| message(request, reply)).await?;
-    Some(json_response(StatusCode::OK, &answer))
+    let response = call(platform, |reply| message(request, reply)).await?;
+    Some(json_response(StatusCode::OK, &response))
 }
 
 /// Like [`answer`], but the answer may get lost after the effect.
-async fn write<Q: DeserializeOwned, A: Serialize>(
+async fn respond_to_write<Q: DeserializeOwned, A: Serialize>(
     platform: &mpsc::Sender<Message>,
     body: &Bytes,
     message: impl FnOnce(Q, oneshot::Sender<A>) -> Message,
 ) -> Option<HttpResponse> {
-    let answer = answer(platform, body, message).await?;
-    let lost = ask(platform, Message::LoseAnswer).await?;
-    (!lost).then_some(answer)
+    let response = respond(platform, body, message).await?;
+    let lost = call(platform, Message::LoseResponse).await?;
+    (!lost).then_some(response)
 }
 
 async fn watch(platform: &mpsc::Sender<Message>, body: &Bytes) -> Option<HttpResponse> {
@@ -325,21 +331,21 @@
         Ok(request) => request,
         Err(error) => return Some(text_response(StatusCode::BAD_REQUEST, error.to_string())),
     };
-    let (sender, responses) = mpsc::channel(WATCH_QUEUE);
+    let (sender, responses) = mpsc::channel(WATCH_QUEUE_CAPACITY);
     platform.send(Message::Watch(request.create_request, sender)).await.ok()?;
     Some(Response::new(stream_lines(responses)))
 }
 
 fn stream_lines(responses: mpsc::Receiver<WatchResponse>) -> ResponseBody {
-    let lines = ReceiverLines { responses };
+    let lines = WatchLineStream { responses };
     http_body_util::BodyExt::boxed(StreamBody::new(lines))
 }
 
-struct ReceiverLines {
+struct WatchLineStream {
     responses: mpsc::Receiver<WatchResponse>,
 }
 
-impl futures_core::Stream for ReceiverLines {
+impl futures_core::Stream for WatchLineStream {
     type Item = Result<Frame<Bytes>, std::io::Error>;
 
     fn poll_next(
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -14,7 +14,7 @@
     /// Where clients connect.
     pub address: SocketAddr,
     /// Counts the times that all open connections went silent.
-    silences: watch::Sender<u64>,
+    blackhole_count: watch::Sender<u64>,
 }
 
 impl Relay {
@@ -22,12 +22,12 @@
     pub async fn start(server: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?;
-        let silences = watch::channel(0).0;
-        let relay = Relay { address, silences: silences.clone() };
+        let blackhole_count = watch::channel(0).0;
+        let relay = Relay { address, blackhole_count: blackhole_count.clone() };
         tokio::spawn(async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else { return };
-                tokio::spawn(carry(near, server, silences.subscribe()));
+                let Ok((client, _)) = listener.accept().await else { return };
+                tokio::spawn(forward(client, server, blackhole_count.subscribe()));
             }
         });
         Ok(relay)
@@ -35,17 +35,21 @@
 
     /// Connections that are open now carry nothing any more.
     pub fn blackhole_connections(&self) {
-        self.silences.send_modify(|count| *count += 1);
+        self.blackhole_count.send_modify(|count| *count += 1);
     }
 }
 
-async fn carry(mut near: TcpStream, server: SocketAddr, mut silences: watch::Receiver<u64>) {
-    let Ok(mut far) = TcpStream::connect(server).await else { return };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+async fn forward(
+    mut client: TcpStream,
+    server: SocketAddr,
+    mut blackhole_count: watch::Receiver<u64>,
+) {
+    let Ok(mut upstream) = TcpStream::connect(server).await else { return };
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => {}
+        _ = copy_bidirectional(&mut client, &mut upstream) => {}
         // Both ends stay open.
-        _ = silences.changed() => std::future::pending().await,
+        _ = blackhole_count.changed() => std::future::pending().await,
     }
 }
--- a/crates/standin/src/udp_listener.rs
+++ b/crates/standin/src/udp_listener.rs
@@ -17,7 +17,7 @@
 
 /// An answer to a caller.
 #[derive(Debug)]
-pub(crate) struct CallerAnswer {
+pub(crate) struct CallerReply {
     pub(crate) caller: SocketAddrV4,
     pub(crate) payload: Bytes,
 }
@@ -27,15 +27,15 @@
     socket: UdpSocket,
     service: SocketAddrV4,
     datagrams: mpsc::Sender<CallerDatagram>,
-    mut answers: mpsc::Receiver<CallerAnswer>,
+    mut replies: mpsc::Receiver<CallerReply>,
 ) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         tokio::select! {
-            answer = answers.recv() => {
-                let Some(answer) = answer else { return };
+            reply = replies.recv() => {
+                let Some(reply) = reply else { return };
                 // An answer that is lost here is lost as on any network.
-                let _ = socket.send_to(&answer.payload, answer.caller).await;
+                let _ = socket.send_to(&reply.payload, reply.caller).await;
             }
             received = socket.recv_from(&mut buffer) => {
                 let Ok((length, SocketAddr::V4(caller))) = received else { continue };
--- a/crates/standin/tests/key_value.rs
+++ b/crates/standin/tests/key_value.rs
@@ -56,7 +56,7 @@
         range_end: text(&prefix_end("/a/")),
         start_revision: Number(1),
     };
-    let begun = store.begin_watch(&request);
+    let begun = store.start_watch(&request);
     assert!(begun[0].created);
     assert_eq!(begun.len(), 2);
     assert_eq!(begun[1].events[0].kv.value.0, "one");
@@ -73,7 +73,7 @@
     }
     let request =
         WatchCreateRequest { key: text("/a"), range_end: text(""), start_revision: Number(2) };
-    let begun = store.begin_watch(&request);
+    let begun = store.start_watch(&request);
     assert!(begun[1].canceled);
     assert!(begun[1].compact_revision.0 >= 2);
 }
--- a/crates/standin/tests/silent_watch.rs
+++ b/crates/standin/tests/silent_watch.rs
@@ -11,7 +11,7 @@
 use tokio::sync::watch;
 
 /// What the users expect of a configuration's way to every node.
-const BOUND: Duration = Duration::from_secs(18);
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(18);
 
 fn revision(number: u64) -> Configuration {
     let mut configuration = Configuration::default();
@@ -19,7 +19,7 @@
     configuration
 }
 
-async fn write(store: &StoreClient, before: &Configuration, after: &Configuration) {
+async fn commit_change(store: &StoreClient, before: &Configuration, after: &Configuration) {
     let writes = Documents::writes(before, after, &format!("command-{}", after.version.revision));
     let request = StoreRequest::Transaction { conditions: Vec::new(), writes };
     let reply = store.send(&request).await.unwrap();
@@ -27,7 +27,7 @@
 }
 
 async fn wait_for_watch(platform: SocketAddr) {
-    let client = HttpClient::new(platform, BOUND);
+    let client = HttpClient::new(platform, PROPAGATION_LIMIT);
     while client.get_json::<u64>("/standin/watchers").await.unwrap() == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -40,14 +40,14 @@
     tokio::spawn(serve(listener, Faults::default()));
     let relay = Relay::start(address).await.unwrap();
     let operators = StoreClient::new(address);
-    write(&operators, &Configuration::default(), &revision(1)).await;
-    let (published, mut known) = watch::channel(None);
+    commit_change(&operators, &Configuration::default(), &revision(1)).await;
+    let (published, mut configurations) = watch::channel(None);
     tokio::spawn(follow(StoreClient::new(relay.address), 1, published));
-    known.changed().await.unwrap();
+    configurations.changed().await.unwrap();
     wait_for_watch(address).await;
     relay.blackhole_connections();
-    write(&operators, &revision(1), &revision(2)).await;
-    let changed = tokio::time::timeout(BOUND, known.changed()).await;
+    commit_change(&operators, &revision(1), &revision(2)).await;
+    let changed = tokio::time::timeout(PROPAGATION_LIMIT, configurations.changed()).await;
     assert!(matches!(changed, Ok(Ok(()))), "{changed:?}");
-    assert_eq!(known.borrow().as_ref().unwrap().version.revision, 2);
+    assert_eq!(configurations.borrow().as_ref().unwrap().version.revision, 2);
 }
