--- a/crates/app/src/agent_process.rs
+++ b/crates/app/src/agent_process.rs
@@ -57,7 +57,7 @@
         flow_tasks: HashMap::new(),
         event_sender,
         watch_report_sender,
-        watch: JoinSet::new(),
+        backend_watch: JoinSet::new(),
     };
     driver
         .run(
@@ -103,7 +103,7 @@
     event_sender: mpsc::Sender<FlowSocketEvent>,
     watch_report_sender: mpsc::Sender<bool>,
     /// Contains the single task that holds the idle connection to the back end.
-    watch: JoinSet<()>,
+    backend_watch: JoinSet<()>,
 }
 
 impl AgentDriver {
@@ -206,8 +206,8 @@
                     }
                 }
                 Output::WatchBackend { server } => {
-                    self.watch.abort_all();
-                    self.watch
+                    self.backend_watch.abort_all();
+                    self.backend_watch
                         .spawn(hold_backend_connection(server, self.watch_report_sender.clone()));
                 }
                 Output::Ended { flow } => {
--- a/crates/app/src/bin/loftdrift-standin.rs
+++ b/crates/app/src/bin/loftdrift-standin.rs
@@ -45,8 +45,8 @@
         Some("backend") => Role::Backend,
         Some("callers") => Role::Callers,
         _ => {
-            let word = command.unwrap_or_default();
-            return reject_unused_arguments(pico_args::Arguments::from_vec(vec![word.into()]))
+            let command = command.unwrap_or_default();
+            return reject_unused_arguments(pico_args::Arguments::from_vec(vec![command.into()]))
                 .map(|()| ExitCode::SUCCESS);
         }
     };
--- a/crates/app/src/bin/loftdrift.rs
+++ b/crates/app/src/bin/loftdrift.rs
@@ -59,8 +59,8 @@
         Some("check") => run_check(arguments),
         Some("demo") => run_demo(arguments).await,
         _ => {
-            let word = command.unwrap_or_default();
-            Err(UsageError(format!("unknown command `{word}`; see loftdrift --help")).into())
+            let command = command.unwrap_or_default();
+            Err(UsageError(format!("unknown command `{command}`; see loftdrift --help")).into())
         }
     }
 }
--- a/crates/app/src/ctl.rs
+++ b/crates/app/src/ctl.rs
@@ -200,7 +200,7 @@
         }
         CommitOutcome::Unreachable => (
             "unreachable",
-            "refused, nothing was changed: the key-value store did not respond".to_owned(),
+            "refused, nothing was changed: the key-value store gave no answer".to_owned(),
             EXIT_FAILED,
         ),
         CommitOutcome::Unknown => (
--- a/crates/app/src/demo/cluster.rs
+++ b/crates/app/src/demo/cluster.rs
@@ -33,7 +33,7 @@
 const AGENT_DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 const PROBES_PER_SECOND: u32 = 40;
 const FLOW_BUFFER_BYTES: usize = 16 * 1024;
-const UNKNOWN_GRACE_DURATION: Duration = Duration::from_secs(20);
+const UNKNOWN_FLOW_GRACE: Duration = Duration::from_secs(20);
 const UDP_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 const RAMP_DURATION: Duration = Duration::from_secs(10);
 const STARTUP_TIMEOUT: Duration = Duration::from_secs(10);
@@ -221,7 +221,7 @@
                 fabric: self.fabric,
                 flow_buffer_bytes: FLOW_BUFFER_BYTES,
                 cookies: true,
-                unknown_grace: UNKNOWN_GRACE_DURATION,
+                unknown_grace: UNKNOWN_FLOW_GRACE,
                 udp_idle: UDP_IDLE_TIMEOUT,
                 ramp: RAMP_DURATION,
                 seed: self.seed ^ u64::from(agent.port()),
--- a/crates/app/src/demo/mod.rs
+++ b/crates/app/src/demo/mod.rs
@@ -27,7 +27,7 @@
 pub const DEFAULT_SEED: u64 = 1;
 
 /// Maximum time from the acceptance of a drain command until the back end gets no more new flows.
-const DRAIN_EFFECT_LIMIT: Duration = Duration::from_secs(3);
+const DRAIN_EFFECT_TIMEOUT: Duration = Duration::from_secs(3);
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of a demo run.
@@ -54,7 +54,7 @@
     AttachBackend,
 }
 
-/// Runs the demo. Returns exit code 0 only if every guarantee held; see [`Report`].
+/// Runs the demo. Returns exit code 0 only if every guarantee in the report held.
 pub async fn run(settings: DemoSettings) -> Result<ExitCode> {
     let mut cluster = DemoCluster::start(&settings).await?;
     let (mut stats, events) = DemoStats::new();
@@ -102,7 +102,7 @@
         (duration.mul_f64(0.35), Change::StartBalancer),
         (drain_at, Change::DrainBackend),
         (duration.mul_f64(0.55), Change::AttachBackend),
-        (drain_at + DRAIN_EFFECT_LIMIT, Change::CheckDrained),
+        (drain_at + DRAIN_EFFECT_TIMEOUT, Change::CheckDrained),
     ]
 }
 
--- a/crates/app/src/demo/report.rs
+++ b/crates/app/src/demo/report.rs
@@ -32,7 +32,7 @@
     opened_after_drain: u64,
     /// Distinct configuration revisions on running balancers and agents at the end.
     revisions_in_force: Vec<u64>,
-    /// Per service, the flows of the busiest back end divided by the mean over its back ends.
+    /// Per service: flows of its busiest back end divided by the mean, averaged over the run.
     imbalance: BTreeMap<&'static str, f64>,
     /// Mean traffic per balancer or agent for configuration and probes.
     control_bytes_per_second: f64,
--- a/crates/standin/tests/silent_watch.rs
+++ b/crates/standin/tests/silent_watch.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 /// Required maximum time from a configuration change until every node has it.
-const PROPAGATION_LIMIT: Duration = Duration::from_secs(18);
+const PROPAGATION_TIMEOUT: Duration = Duration::from_secs(18);
 
 fn revision(number: u64) -> Configuration {
     let mut configuration = Configuration::default();
@@ -28,7 +28,7 @@
 }
 
 async fn wait_for_watch(platform: SocketAddr) {
-    let client = HttpClient::new(platform, PROPAGATION_LIMIT);
+    let client = HttpClient::new(platform, PROPAGATION_TIMEOUT);
     while client.get_json::<u64>("/standin/watchers").await.unwrap() == 0 {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
@@ -42,13 +42,13 @@
     let relay = Relay::start(address).await.unwrap();
     let operators = StoreClient::new(address);
     commit_change(&operators, &Configuration::default(), &revision(1)).await;
-    let (published, mut configurations) = watch::channel(None);
-    tokio::spawn(follow(StoreClient::new(relay.address), 1, published));
+    let (configuration_sender, mut configurations) = watch::channel(None);
+    tokio::spawn(follow(StoreClient::new(relay.address), 1, configuration_sender));
     configurations.changed().await.unwrap();
     wait_for_watch(address).await;
     relay.blackhole_connections();
     commit_change(&operators, &revision(1), &revision(2)).await;
-    let changed = tokio::time::timeout(PROPAGATION_LIMIT, configurations.changed()).await;
+    let changed = tokio::time::timeout(PROPAGATION_TIMEOUT, configurations.changed()).await;
     assert!(matches!(changed, Ok(Ok(()))), "{changed:?}");
     assert_eq!(configurations.borrow().as_ref().unwrap().version.revision, 2);
 }
