--- a/crates/app/src/command_line.rs
+++ b/crates/app/src/command_line.rs
@@ -52,17 +52,20 @@
     settings.map_err(|findings| UsageError(findings.to_string()).into())
 }
 
-fn overrides(rest: Vec<OsString>) -> Result<Overrides> {
+fn overrides(unparsed: Vec<OsString>) -> Result<Overrides> {
     let mut overrides = Overrides::default();
-    let mut words = rest.into_iter().map(|word| word.to_string_lossy().into_owned());
-    while let Some(word) = words.next() {
-        let Some(name) = word.strip_prefix("--") else {
-            return Err(UsageError(format!("unrecognized argument `{word}`; see --help")).into());
+    let mut arguments =
+        unparsed.into_iter().map(|argument| argument.to_string_lossy().into_owned());
+    while let Some(argument) = arguments.next() {
+        let Some(name) = argument.strip_prefix("--") else {
+            return Err(
+                UsageError(format!("unrecognized argument `{argument}`; see --help")).into()
+            );
         };
         match name.split_once('=') {
             Some((name, value)) => overrides.set(name, value.to_owned()),
             None => {
-                let value = words.next();
+                let value = arguments.next();
                 let value =
                     value.ok_or_else(|| UsageError(format!("flag --{name} has no value")))?;
                 overrides.set(name, value);
@@ -79,12 +82,12 @@
 
 /// Returns a usage error if any argument was not parsed.
 pub fn reject_unused_arguments(arguments: pico_args::Arguments) -> Result<()> {
-    let rest = arguments.finish();
-    match rest.first() {
+    let unparsed = arguments.finish();
+    match unparsed.first() {
         None => Ok(()),
-        Some(word) => {
-            let word = word.to_string_lossy();
-            Err(UsageError(format!("unrecognized argument `{word}`; see --help")).into())
+        Some(argument) => {
+            let argument = argument.to_string_lossy();
+            Err(UsageError(format!("unrecognized argument `{argument}`; see --help")).into())
         }
     }
 }
--- a/crates/app/src/metrics.rs
+++ b/crates/app/src/metrics.rs
@@ -31,11 +31,11 @@
 /// Serves `/metrics` until the task is dropped.
 pub async fn serve(listener: TcpListener, counters: watch::Receiver<PublishedSet>) {
     loftdrift_http::serve(listener, move |request| {
-        let answer = match request.uri().path() {
+        let response = match request.uri().path() {
             "/metrics" => text_response(StatusCode::OK, render(&[counters.borrow().clone()])),
             _ => text_response(StatusCode::NOT_FOUND, "metrics are at /metrics"),
         };
-        std::future::ready(Some(answer))
+        std::future::ready(Some(response))
     })
     .await;
 }
