--- a/crates/agent/tests/limits.rs
+++ b/crates/agent/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What an agent refuses, bounds and counts.
+//! What an agent declines or drops, how it counts it, and which limits it keeps.
 
 use etherparse::PacketBuilder;
 use loftdrift_agent::{Agent, AgentSettings, Output};
@@ -15,7 +15,7 @@
 const TILES_VNI: u32 = 1;
 
 fn address(text: &str) -> SocketAddrV4 {
-    text.parse().expect("an address")
+    text.parse().expect("valid address")
 }
 
 fn agent(connections: u32) -> Agent {
@@ -29,17 +29,18 @@
         ramp: Duration::from_secs(10),
         seed: 7,
     })
-    .expect("a chart");
+    .expect("valid state chart");
     let script = format!(
         "create service tiles at 10.20.0.1:80\n\
          create service sheets at 10.20.0.2:80\n\
          attach backend tiles-1 to tiles at 127.0.0.1:9001 agent 10.2.0.1:6081 \
          connections {connections} state active"
     );
-    let statements = parse_script("test", &script).expect("a script");
-    let configuration = apply(&Configuration::default(), &statements).expect("a change that fits");
+    let statements = parse_script("test", &script).expect("valid script");
+    let configuration =
+        apply(&Configuration::default(), &statements).expect("applicable statements");
     agent.adopt(Duration::ZERO, &configuration);
-    agent.handle_watch(Duration::ZERO, true);
+    agent.handle_health_check(Duration::ZERO, true);
     agent
 }
 
@@ -51,8 +52,8 @@
         cursor: 0,
         hops_left: 16,
         page: 0,
-        eligible: 1,
-        best: None,
+        eligible_count: 1,
+        least_loaded: None,
         epoch: 1,
         candidates,
     }
@@ -61,7 +62,7 @@
 fn syn(port: u16, service: [u8; 4]) -> Vec<u8> {
     let builder = PacketBuilder::ipv4([10, 9, 0, 1], service, 64).tcp(port, 80, 1_000, 8_192).syn();
     let mut packet = Vec::new();
-    builder.write(&mut packet, &[]).expect("a packet");
+    builder.write(&mut packet, &[]).expect("valid packet");
     packet
 }
 
@@ -69,7 +70,7 @@
     let builder =
         PacketBuilder::ipv4([10, 9, 0, 1], SERVICE, 64).tcp(port, 80, 1_001, 8_192).ack(5_000);
     let mut packet = Vec::new();
-    builder.write(&mut packet, b"hello").expect("a packet");
+    builder.write(&mut packet, b"hello").expect("valid packet");
     packet
 }
 
@@ -78,7 +79,7 @@
     agent.handle_datagram(now, address("10.1.0.1:6081"), &datagram);
 }
 
-/// Resets among the packets that the agent sends back.
+/// Takes all outputs and counts the TCP resets among the packets in them.
 fn resets(agent: &mut Agent) -> usize {
     const RST: u8 = 0x04;
     const FLAGS: usize = 20 + 13;
@@ -87,7 +88,7 @@
         let Output::Transmit { datagram, .. } = output else {
             continue;
         };
-        let packet = GenevePacket::parse(&datagram).expect("a packet");
+        let packet = GenevePacket::parse(&datagram).expect("valid packet");
         count += usize::from(packet.inner[FLAGS] & RST != 0);
     }
     count
@@ -96,18 +97,18 @@
 #[test]
 fn a_packet_of_another_service_is_refused_and_counted() {
     let mut agent = agent(10);
-    send(&mut agent, Duration::ZERO, OTHER_SERVICE_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, [10, 20, 0, 2]));
+    send(&mut agent, Duration::ZERO, OTHER_SERVICE_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, [10, 20, 0, 2]));
     assert_eq!(agent.counters.refused_other_service, 2);
     assert_eq!(agent.counters.flows_opened, 0);
     assert!(agent.take_output().is_none());
 }
 
 #[test]
-fn a_full_back_end_takes_nothing_more_and_says_so() {
+fn a_full_back_end_declines_new_flows_and_counts_them() {
     let mut agent = agent(2);
     for port in 4_000..4_003 {
-        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(port, SERVICE));
+        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(port, SERVICE));
     }
     assert_eq!(agent.counters.flows_opened, 2);
     assert_eq!(agent.counters.passed_over_full, 1);
@@ -116,9 +117,9 @@
 }
 
 #[test]
-fn a_handshake_that_is_never_finished_is_forgotten() {
+fn a_handshake_that_is_never_finished_is_removed_without_reset() {
     let mut agent = agent(10);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.flow_count(), 1);
     while let Some(next) = agent.next_timeout().filter(|next| *next <= Duration::from_secs(20)) {
         agent.handle_timeout(next);
@@ -130,72 +131,73 @@
 #[test]
 fn an_acknowledgement_of_another_agents_handshake_is_passed_on() {
     let mut agent = agent(10);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(resets(&mut agent), 0);
     let other = Candidate { backend: BackendId(2), agent: address("10.2.0.2:6081") };
     let mut option = option(SteeringMode::Locate);
     option.candidates.push(other);
-    // The caller acknowledges a SYN-ACK that this agent has not sent.
+    // The caller acknowledges a SYN-ACK that this agent did not send.
     let datagram = encode_packet(TILES_VNI, Some(&option), &data(4_000));
     agent.handle_datagram(Duration::ZERO, address("10.1.0.1:6081"), &datagram);
     let Some(Output::Transmit { to, datagram }) = agent.take_output() else {
-        panic!("the packet was kept")
+        panic!("the packet was not forwarded")
     };
     assert_eq!(to, other.agent);
-    assert_eq!(GenevePacket::parse(&datagram).expect("a packet").inner, data(4_000));
+    assert_eq!(GenevePacket::parse(&datagram).expect("valid packet").inner, data(4_000));
     assert!(agent.take_output().is_none());
 }
 
 #[test]
 fn an_unreachable_back_end_opens_nothing_until_a_connection_is_accepted() {
     let mut agent = agent(10);
-    agent.handle_watch(Duration::ZERO, false);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    agent.handle_health_check(Duration::ZERO, false);
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.counters.flows_opened, 0);
     assert_eq!(agent.counters.passed_over_unreachable, 1);
-    agent.handle_watch(Duration::ZERO, true);
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+    agent.handle_health_check(Duration::ZERO, true);
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     assert_eq!(agent.counters.flows_opened, 1);
 }
 
-/// The load that the agent writes into a tour that goes on to another candidate.
-fn told_load(agent: &mut Agent, now: Duration) -> u16 {
-    let mut option = option(SteeringMode::Tour);
+/// The load that the agent writes into a SYN's steering option before it forwards the SYN to
+/// another candidate.
+fn reported_load(agent: &mut Agent, now: Duration) -> u16 {
+    let mut option = option(SteeringMode::Select);
     let other = Candidate { backend: BackendId(2), agent: address("10.2.0.2:6081") };
     option.candidates.push(other);
-    option.eligible = 2;
+    option.eligible_count = 2;
     let datagram = encode_packet(TILES_VNI, Some(&option), &syn(5_000, SERVICE));
     agent.handle_datagram(now, address("10.1.0.1:6081"), &datagram);
     let Some(Output::Transmit { datagram, .. }) = agent.take_output() else {
-        panic!("the packet was kept")
+        panic!("the packet was not forwarded")
     };
-    let passed_on = GenevePacket::parse(&datagram).expect("a packet").steering;
-    passed_on.and_then(|option| option.best).expect("a load").load
+    let forwarded = GenevePacket::parse(&datagram).expect("valid packet").steering;
+    forwarded.and_then(|option| option.least_loaded).expect("load in the steering option").load
 }
 
 #[test]
-fn a_back_end_that_has_come_up_works_up_to_its_full_share() {
+fn the_load_factor_of_a_back_end_that_has_come_up_falls_during_its_warm_up() {
     let mut agent = agent(10);
     let seconds = Duration::from_secs;
-    let loads = [0, 5, 10, 60].map(|at| told_load(&mut agent, seconds(at)));
+    let loads = [0, 5, 10, 60].map(|at| reported_load(&mut agent, seconds(at)));
     assert!(loads[0] > loads[1] && loads[1] > loads[2], "{loads:?}");
     assert_eq!((loads[0], loads[3]), (2 * loads[2], loads[2]));
-    agent.handle_watch(seconds(60), false);
-    agent.handle_watch(seconds(61), true);
-    assert_eq!(told_load(&mut agent, seconds(61)), loads[0]);
+    agent.handle_health_check(seconds(60), false);
+    agent.handle_health_check(seconds(61), true);
+    assert_eq!(reported_load(&mut agent, seconds(61)), loads[0]);
 }
 
 #[test]
-fn a_doubled_syn_opens_one_flow() {
+fn a_retransmitted_syn_opens_no_second_flow() {
     let mut agent = agent(10);
     for _ in 0..3 {
-        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &syn(4_000, SERVICE));
+        send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &syn(4_000, SERVICE));
     }
     assert_eq!(agent.counters.flows_opened, 1);
 }
 
 #[test]
-fn an_unknown_flow_meets_silence_and_then_a_reset() {
+fn an_unknown_flow_is_reset_only_after_the_grace_time() {
     let mut agent = agent(10);
     let packet = data(4_000);
     send(&mut agent, Duration::from_secs(1), TILES_VNI, SteeringMode::Locate, &packet);
@@ -212,7 +214,7 @@
     let mut packet = syn(4_000, SERVICE);
     let last = packet.len() - 1;
     packet[last] ^= 0x55;
-    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Tour, &packet);
+    send(&mut agent, Duration::ZERO, TILES_VNI, SteeringMode::Select, &packet);
     assert_eq!(agent.counters.dropped_transport_checksum, 1);
     assert_eq!(agent.counters.flows_opened, 0);
 }
@@ -233,10 +235,10 @@
     check_fixed_seeds(|input| {
         let mut agent = agent(10);
         let mut datagram =
-            encode_packet(TILES_VNI, Some(&option(SteeringMode::Tour)), &syn(4_000, SERVICE));
+            encode_packet(TILES_VNI, Some(&option(SteeringMode::Select)), &syn(4_000, SERVICE));
         for _ in 0..input.int_in_range(1..=4)? {
-            let place = input.int_in_range(0..=datagram.len() - 1)?;
-            datagram[place] = input.arbitrary()?;
+            let offset = input.int_in_range(0..=datagram.len() - 1)?;
+            datagram[offset] = input.arbitrary()?;
         }
         datagram.truncate(input.int_in_range(0..=datagram.len())?);
         agent.handle_datagram(Duration::ZERO, address("10.1.0.1:6081"), &datagram);
--- a/crates/app/src/agent_process.rs
+++ b/crates/app/src/agent_process.rs
@@ -1,5 +1,5 @@
-//! The agent's shell: the task that owns the UDP socket and the core. Each flow's socket to the
-//! back end is owned by a task of its own.
+//! The agent's driver: the task that owns the UDP socket and the agent's core, a state machine
+//! without I/O. Each flow's socket to the back end is owned by a separate task.
 
 use crate::balancer_process::sleep_until;
 use crate::lifecycle::Lifecycle;
@@ -22,45 +22,46 @@
 use tokio::time::Instant;
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-const DATAGRAMS_A_TURN: usize = 64;
-const WATCH_TIMEOUT: Duration = Duration::from_secs(1);
-const EVENT_QUEUE: usize = 4_096;
+/// Datagrams read before the driver checks its other inputs again.
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const BACKEND_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+const EVENT_QUEUE_CAPACITY: usize = 4_096;
 
-/// What an agent's task works with.
+/// Resources and settings of an agent's task.
 #[derive(Debug)]
 pub struct AgentTask {
-    /// Socket for GENEVE.
+    /// Socket for GENEVE packets.
     pub socket: UdpSocket,
     /// Settings of the core.
     pub settings: AgentSettings,
-    /// Longest wait for flows to end after a request to stop.
-    pub drain: Duration,
-    /// The configuration, as it changes.
+    /// How long to wait for flows to end after a stop request; the agent then stops regardless.
+    pub drain_timeout: Duration,
+    /// The current configuration; `None` until the first one was read.
     pub configuration: watch::Receiver<Option<Arc<Configuration>>>,
-    /// Requests to stop.
+    /// Stop requests. The first one starts draining; a second one stops the agent at once.
     pub stop: mpsc::Receiver<()>,
-    /// Where counters are published.
+    /// Channel on which the counters are published.
     pub counters: watch::Sender<PublishedSet>,
 }
 
 /// Runs an agent until it is stopped.
 pub async fn run(task: AgentTask) -> Result<()> {
     let name = format!("agent {}", task.settings.backend);
-    let (event_sender, events) = mpsc::channel(EVENT_QUEUE);
-    let (watch_sender, watch_reports) = mpsc::channel(1);
-    let shell = Shell {
+    let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
+    let (watch_report_sender, watch_reports) = mpsc::channel(1);
+    let driver = AgentDriver {
         socket: task.socket,
         core: Agent::new(task.settings)?,
         lifecycle: Lifecycle::new(name, agent_chart()?),
         started: Instant::now(),
-        tasks: HashMap::new(),
+        flow_tasks: HashMap::new(),
         event_sender,
-        watch_sender,
-        watch: JoinSet::new(),
+        watch_report_sender,
+        backend_watch: JoinSet::new(),
     };
-    shell
+    driver
         .run(
-            task.drain,
+            task.drain_timeout,
             Inputs { events, watch_reports },
             task.configuration,
             task.stop,
@@ -70,43 +71,45 @@
     Ok(())
 }
 
-/// What the shell's own tasks report.
+/// Reports from the tasks that the driver spawned.
 struct Inputs {
     events: mpsc::Receiver<FlowSocketEvent>,
+    /// Whether the back end accepts connections.
     watch_reports: mpsc::Receiver<bool>,
 }
 
-/// Holds an idle connection to the back end; reports when it is accepted and when it ends.
-async fn watch_backend(server: SocketAddrV4, reports: mpsc::Sender<bool>) {
-    let connected = tokio::time::timeout(WATCH_TIMEOUT, TcpStream::connect(server)).await;
+/// Holds an idle connection to the back end open. Reports `true` once it is accepted and `false`
+/// when it cannot be opened or has closed.
+async fn hold_backend_connection(server: SocketAddrV4, reports: mpsc::Sender<bool>) {
+    let connected = tokio::time::timeout(BACKEND_CONNECT_TIMEOUT, TcpStream::connect(server)).await;
     if let Ok(Ok(mut stream)) = connected {
         if reports.send(true).await.is_err() {
             return;
         }
         let mut ignored = [0; 64];
-        // Bytes that the back end sends unasked are of no interest; an end is.
+        // Discards unsolicited bytes; only the end of the connection matters.
         while matches!(stream.read(&mut ignored).await, Ok(1..)) {}
     }
-    // Without a listener the agent has ended.
+    // Sending fails only when the agent has stopped.
     let _ = reports.send(false).await;
 }
 
-struct Shell {
+struct AgentDriver {
     socket: UdpSocket,
     core: Agent,
     lifecycle: Lifecycle,
     started: Instant,
-    tasks: HashMap<FlowId, CommandSender>,
+    flow_tasks: HashMap<FlowId, CommandSender>,
     event_sender: mpsc::Sender<FlowSocketEvent>,
-    watch_sender: mpsc::Sender<bool>,
-    /// The one task that holds the watching connection.
-    watch: JoinSet<()>,
+    watch_report_sender: mpsc::Sender<bool>,
+    /// Contains the single task that holds the idle connection to the back end.
+    backend_watch: JoinSet<()>,
 }
 
-impl Shell {
+impl AgentDriver {
     async fn run(
         mut self,
-        drain: Duration,
+        drain_timeout: Duration,
         mut inputs: Inputs,
         mut configuration: watch::Receiver<Option<Arc<Configuration>>>,
         mut stop: mpsc::Receiver<()>,
@@ -114,8 +117,8 @@
     ) {
         let mut publish_tick = tokio::time::interval(PUBLISH_INTERVAL);
         let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-        let mut give_up_at = None;
-        self.adopt(&mut configuration);
+        let mut drain_deadline = None;
+        self.apply_configuration(&mut configuration);
         while self.lifecycle.state() != ProcessState::Stopped {
             let timeout = self.core.next_timeout().map(|deadline| self.started + deadline);
             tokio::select! {
@@ -129,22 +132,25 @@
                     self.core.handle_socket(now, event.flow, event.event);
                 }
                 Some(accepts) = inputs.watch_reports.recv() => {
-                    self.core.handle_watch(self.started.elapsed(), accepts);
+                    self.core.handle_health_check(self.started.elapsed(), accepts);
                 }
                 () = sleep_until(timeout) => self.core.handle_timeout(self.started.elapsed()),
-                Ok(()) = configuration.changed() => self.adopt(&mut configuration),
+                Ok(()) = configuration.changed() => self.apply_configuration(&mut configuration),
                 _ = publish_tick.tick() => metrics::publish(&counters, &self.core.counters),
                 Some(()) = stop.recv() => {
                     self.lifecycle.step(ProcessEvent::StopRequested);
                     self.core.start_draining();
-                    give_up_at = Some(Instant::now() + drain);
+                    drain_deadline = Some(Instant::now() + drain_timeout);
                 }
-                () = sleep_until(give_up_at) => {
-                    log::warn!(flows = self.core.flow_count(); "stopping with flows left");
+                () = sleep_until(drain_deadline) => {
+                    log::warn!(
+                        flows = self.core.flow_count();
+                        "drain timeout expired; stopping with open flows"
+                    );
                     self.lifecycle.step(ProcessEvent::Drained);
                 }
             }
-            self.carry_out().await;
+            self.execute_outputs().await;
             if self.lifecycle.state() == ProcessState::Draining && self.core.flow_count() == 0 {
                 self.lifecycle.step(ProcessEvent::Drained);
             }
@@ -152,20 +158,24 @@
         metrics::publish(&counters, &self.core.counters);
     }
 
-    fn adopt(&mut self, configuration: &mut watch::Receiver<Option<Arc<Configuration>>>) {
-        // Marks it as seen, so that one published before the first call is not adopted twice.
+    fn apply_configuration(
+        &mut self,
+        configuration: &mut watch::Receiver<Option<Arc<Configuration>>>,
+    ) {
+        // Marks the value as seen, so that a configuration published before the first call does
+        // not also trigger `changed()`.
         let newest = configuration.borrow_and_update().clone();
         let Some(newest) = newest else { return };
         let now = self.started.elapsed();
         if self.core.adopt(now, &newest) && self.core.is_placed() {
             let version = newest.version;
-            log::info!(revision = version.revision; "configuration {version} in force");
+            log::info!(revision = version.revision; "applied configuration {version}");
             self.lifecycle.step(ProcessEvent::Configured);
         }
     }
 
     fn receive(&mut self, buffer: &mut [u8]) {
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             let Ok((length, SocketAddr::V4(from))) = self.socket.try_recv_from(buffer) else {
                 return;
             };
@@ -173,7 +183,7 @@
         }
     }
 
-    async fn carry_out(&mut self) {
+    async fn execute_outputs(&mut self) {
         while let Some(output) = self.core.take_output() {
             match output {
                 Output::Transmit { to, datagram } => {
@@ -183,24 +193,25 @@
                 }
                 Output::StartSocket { flow, server, transport } => {
                     let source = match transport {
-                        Transport::Tcp => SocketSource::DialTcp(server),
-                        Transport::Udp => SocketSource::DialUdp(server),
+                        Transport::Tcp => SocketSource::ConnectTcp(server),
+                        Transport::Udp => SocketSource::ConnectUdp(server),
                     };
                     let events = self.event_sender.clone();
-                    self.tasks.insert(flow, loftdrift_splice::spawn(flow, source, events));
+                    self.flow_tasks.insert(flow, loftdrift_splice::spawn(flow, source, events));
                 }
                 Output::Socket { flow, command } => {
-                    if let Some(task) = self.tasks.get(&flow) {
-                        // A task that has ended has reported so itself.
+                    if let Some(task) = self.flow_tasks.get(&flow) {
+                        // Sending fails only when the task has ended, which it has reported.
                         let _ = task.send(command);
                     }
                 }
-                Output::WatchBackend { server } => {
-                    self.watch.abort_all();
-                    self.watch.spawn(watch_backend(server, self.watch_sender.clone()));
+                Output::OpenHealthCheck { server } => {
+                    self.backend_watch.abort_all();
+                    self.backend_watch
+                        .spawn(hold_backend_connection(server, self.watch_report_sender.clone()));
                 }
                 Output::Ended { flow } => {
-                    self.tasks.remove(&flow);
+                    self.flow_tasks.remove(&flow);
                 }
             }
         }
--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -1,4 +1,5 @@
-//! The balancer's shell: the task that owns the UDP socket and the core.
+//! The balancer's driver: the task that owns the UDP socket and the balancer's core, a state
+//! machine without I/O.
 
 use crate::lifecycle::Lifecycle;
 use crate::metrics::{self, PUBLISH_INTERVAL};
@@ -15,26 +16,28 @@
 use tokio::time::Instant;
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-const DATAGRAMS_A_TURN: usize = 64;
-const PROBE_TICK: Duration = Duration::from_millis(100);
+/// Datagrams read before the driver checks its other inputs again.
+const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const PROBE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-const PROBE_MISSES: u32 = 3;
+/// Consecutive probes without a reply after which an agent is considered dead.
+const MAX_PROBE_MISSES: u32 = 3;
 
-/// What a balancer's task works with.
+/// Resources and settings of a balancer's task.
 #[derive(Debug)]
 pub struct BalancerTask {
-    /// Socket for GENEVE.
+    /// Socket for GENEVE packets.
     pub socket: UdpSocket,
-    /// How long to forward after a request to stop.
-    pub drain: Duration,
-    /// Most probes to agents in one second.
+    /// How long the balancer keeps forwarding after a stop request.
+    pub drain_duration: Duration,
+    /// Maximum number of probes per second, over all agents.
     pub probes_per_second: u32,
-    /// The configuration, as it changes.
+    /// The current configuration; `None` until the first one was read.
     pub configuration: watch::Receiver<Option<Arc<Configuration>>>,
-    /// Requests to stop.
+    /// Stop requests. The first one starts draining; a second one stops the balancer at once.
     pub stop: mpsc::Receiver<()>,
-    /// Where counters are published.
+    /// Channel on which the counters are published.
     pub counters: watch::Sender<PublishedSet>,
 }
 
@@ -42,43 +45,45 @@
 pub async fn run(task: BalancerTask) -> Result<()> {
     let address = task.socket.local_addr()?;
     let lifecycle = Lifecycle::new(format!("balancer {address}"), balancer_chart()?);
-    let probing = ProbeSettings {
+    let probe_settings = ProbeSettings {
         interval: PROBE_INTERVAL,
         timeout: PROBE_TIMEOUT,
-        misses: PROBE_MISSES,
-        most_per_second: task.probes_per_second,
+        miss_threshold: MAX_PROBE_MISSES,
+        max_per_second: task.probes_per_second,
     };
-    let shell = Shell {
+    let driver = BalancerDriver {
         socket: task.socket,
-        core: Balancer::new(probing),
+        core: Balancer::new(probe_settings),
         lifecycle,
         started: Instant::now(),
         buffer: vec![0; HEADROOM_BYTES + MAX_DATAGRAM_BYTES],
     };
-    shell.run(task.drain, task.configuration, task.stop, task.counters).await;
+    driver.run(task.drain_duration, task.configuration, task.stop, task.counters).await;
     Ok(())
 }
 
-struct Shell {
+struct BalancerDriver {
     socket: UdpSocket,
     core: Balancer,
     lifecycle: Lifecycle,
     started: Instant,
+    /// Each datagram is received behind `HEADROOM_BYTES` of free space, so that the core can
+    /// prepend headers in place.
     buffer: Vec<u8>,
 }
 
-impl Shell {
+impl BalancerDriver {
     async fn run(
         mut self,
-        drain: Duration,
+        drain_duration: Duration,
         mut configuration: watch::Receiver<Option<Arc<Configuration>>>,
         mut stop: mpsc::Receiver<()>,
         counters: watch::Sender<PublishedSet>,
     ) {
-        let mut probe_tick = tokio::time::interval(PROBE_TICK);
+        let mut probe_tick = tokio::time::interval(PROBE_TICK_INTERVAL);
         let mut publish_tick = tokio::time::interval(PUBLISH_INTERVAL);
-        let mut drained_at = None;
-        self.adopt(&mut configuration);
+        let mut drain_ends_at = None;
+        self.apply_configuration(&mut configuration);
         while self.lifecycle.state() != ProcessState::Stopped {
             tokio::select! {
                 readable = self.socket.readable() => {
@@ -86,15 +91,15 @@
                         self.receive().await;
                     }
                 }
-                Ok(()) = configuration.changed() => self.adopt(&mut configuration),
+                Ok(()) = configuration.changed() => self.apply_configuration(&mut configuration),
                 _ = probe_tick.tick() => self.probe().await,
                 _ = publish_tick.tick() => metrics::publish(&counters, &self.core.counters),
                 Some(()) = stop.recv() => {
                     self.lifecycle.step(ProcessEvent::StopRequested);
                     self.core.start_draining();
-                    drained_at = Some(Instant::now() + drain);
+                    drain_ends_at = Some(Instant::now() + drain_duration);
                 }
-                () = sleep_until(drained_at) => {
+                () = sleep_until(drain_ends_at) => {
                     self.lifecycle.step(ProcessEvent::Drained);
                 }
             }
@@ -102,19 +107,23 @@
         metrics::publish(&counters, &self.core.counters);
     }
 
-    fn adopt(&mut self, configuration: &mut watch::Receiver<Option<Arc<Configuration>>>) {
-        // Marks it as seen, so that one published before the first call is not adopted twice.
+    fn apply_configuration(
+        &mut self,
+        configuration: &mut watch::Receiver<Option<Arc<Configuration>>>,
+    ) {
+        // Marks the value as seen, so that a configuration published before the first call does
+        // not also trigger `changed()`.
         let newest = configuration.borrow_and_update().clone();
         let Some(newest) = newest else { return };
         if self.core.adopt(self.started.elapsed(), &newest) {
             let version = newest.version;
-            log::info!(revision = version.revision; "configuration {version} in force");
+            log::info!(revision = version.revision; "applied configuration {version}");
             self.lifecycle.step(ProcessEvent::Configured);
         }
     }
 
     async fn receive(&mut self) {
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
             let space = &mut self.buffer[HEADROOM_BYTES..];
             let Ok((length, SocketAddr::V4(from))) = self.socket.try_recv_from(space) else {
                 return;
@@ -128,7 +137,7 @@
                         self.core.counters.send_failures += 1;
                     }
                 }
-                Verdict::Answer(echo) => {
+                Verdict::Reply(echo) => {
                     if send(&self.socket, from, &echo.encode()).await.is_err() {
                         self.core.counters.send_failures += 1;
                     }
@@ -147,12 +156,12 @@
     }
 }
 
-/// The time since the Unix epoch; zero when the host's clock stands before it.
+/// Time since the Unix epoch, or zero when the host's clock is set before the epoch.
 fn unix_now() -> Duration {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default()
 }
 
-/// Sends at once when the socket has room, as it nearly always has.
+/// Tries a non-blocking send first, because the socket's buffer almost always has room.
 async fn send(socket: &UdpSocket, to: SocketAddrV4, datagram: &[u8]) -> std::io::Result<usize> {
     match socket.try_send_to(datagram, to.into()) {
         Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
@@ -162,7 +171,7 @@
     }
 }
 
-/// Sleeps until the deadline, for ever without one.
+/// Sleeps until the deadline, or forever when there is none.
 pub(crate) async fn sleep_until(deadline: Option<Instant>) {
     match deadline {
         Some(deadline) => tokio::time::sleep_until(deadline).await,
--- a/crates/app/src/bin/loftdrift-standin.rs
+++ b/crates/app/src/bin/loftdrift-standin.rs
@@ -1,23 +1,26 @@
-//! The program `loftdrift-standin`: fabric, platform, back ends and callers for tests.
+//! The program `loftdrift-standin`: a simulated network fabric, platform, back end and callers for
+//! tests.
 
-use loftdrift::command_line::{exit_code, read_settings, refuse_rest, start_logging, usage};
+use loftdrift::command_line::{
+    exit_code, read_settings, reject_unused_arguments, start_logging, usage_error,
+};
 use loftdrift::standins;
 use loftdrift_settings::{Role, Settings};
 use std::process::ExitCode;
 
 const HELP: &str = "\
-loftdrift-standin: stands in for what surrounds loftdrift, for tests and trials
+loftdrift-standin: simulates the systems around loftdrift for tests and experiments
 
 usage: loftdrift-standin COMMAND [--config FILE] [--SETTING VALUE ...]
 
 commands:
-  fabric     takes callers' connections and sprays their packets over the balancers
-  platform   key-value store and machine list over HTTP
-  backend    an HTTP back end with slots, cold start and a lagging load page
-  callers    long flows that check every answer; prints what they saw
+  fabric     accepts callers' connections and sends each packet to a random balancer
+  platform   serves a key-value store and a machine list over HTTP
+  backend    an HTTP back end with limited concurrency, a cold start and a delayed load page
+  callers    sends requests on long flows, checks every response and prints the counts
 
   --help, --version
-exit codes: 0 done, 1 failed (callers: a flow broke or an answer was wrong), 2 usage or settings
+exit codes: 0 success, 1 failure (callers: broken flow or wrong response), 2 usage or settings
 ";
 
 #[tokio::main]
@@ -31,7 +34,7 @@
         println!("loftdrift-standin {}", env!("CARGO_PKG_VERSION"));
         return Ok(ExitCode::SUCCESS);
     }
-    let command = arguments.subcommand().map_err(usage)?;
+    let command = arguments.subcommand().map_err(usage_error)?;
     if arguments.contains("--help") || command.is_none() {
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
@@ -42,8 +45,8 @@
         Some("backend") => Role::Backend,
         Some("callers") => Role::Callers,
         _ => {
-            let word = command.unwrap_or_default();
-            return refuse_rest(pico_args::Arguments::from_vec(vec![word.into()]))
+            let command = command.unwrap_or_default();
+            return reject_unused_arguments(pico_args::Arguments::from_vec(vec![command.into()]))
                 .map(|()| ExitCode::SUCCESS);
         }
     };
--- a/crates/app/src/bin/loftdrift.rs
+++ b/crates/app/src/bin/loftdrift.rs
@@ -1,10 +1,11 @@
-//! The program `loftdrift`.
+//! The program `loftdrift`: balancer, agent, operator commands, file checks and the demo.
 
 use anyhow::Result;
 use loftdrift::command_line::{
-    UsageError, exit_code, read_settings, refuse_rest, start_logging, start_quiet_logging, usage,
+    UsageError, exit_code, read_settings, reject_unused_arguments, start_logging,
+    start_quiet_logging, usage_error,
 };
-use loftdrift::ctl::{self, Call, Format};
+use loftdrift::ctl::{self, Format, Invocation};
 use loftdrift::demo::{self, DemoSettings};
 use loftdrift::{check, process, signals};
 use loftdrift_settings::{Role, Settings};
@@ -23,15 +24,15 @@
   balancer [--config FILE] [--SETTING VALUE ...]    runs a balancer
   agent    [--config FILE] [--SETTING VALUE ...]    runs the agent beside a back end
   ctl --platform IP:PORT [--format json] [--dry-run] (--file SCRIPT | STATEMENT ...)
-      carries out operators' statements, whole or not at all, for example
+      applies operators' statements atomically, for example
       loftdrift ctl --platform 127.0.0.1:2379 drain backend tiles-3
-  ctl --platform IP:PORT outcome ID                 tells what became of a command
-  check FILE ...     all findings on settings files, scripts (*.commands) and state charts
+  ctl --platform IP:PORT outcome ID                 shows whether a command was applied
+  check FILE ...     reports all problems in settings files, scripts (*.commands) and state charts
   demo [--seconds N] [--seed S] [--format json] [--listen IP:PORT]
-      the whole path in one process over loopback, while balancers and back ends change
+      runs all components in one process over loopback while balancers and back ends change
 
   --help, --version
-exit codes: 0 done, 1 failed or refused, 2 usage or settings, 3 outcome of a change unknown
+exit codes: 0 success, 1 failed or rejected, 2 invalid usage or settings, 3 outcome unknown
 docs/OPERATING.md lists settings, signals and counters
 ";
 
@@ -46,7 +47,7 @@
         println!("loftdrift {}", env!("CARGO_PKG_VERSION"));
         return Ok(ExitCode::SUCCESS);
     }
-    let command = arguments.subcommand().map_err(usage)?;
+    let command = arguments.subcommand().map_err(usage_error)?;
     if arguments.contains("--help") || command.is_none() {
         print!("{HELP}");
         return Ok(ExitCode::SUCCESS);
@@ -58,8 +59,8 @@
         Some("check") => run_check(arguments),
         Some("demo") => run_demo(arguments).await,
         _ => {
-            let word = command.unwrap_or_default();
-            Err(UsageError(format!("unknown command `{word}`; see loftdrift --help")).into())
+            let command = command.unwrap_or_default();
+            Err(UsageError(format!("unknown command `{command}`; see loftdrift --help")).into())
         }
     }
 }
@@ -82,8 +83,8 @@
 
 async fn run_ctl(mut arguments: Arguments) -> Result<ExitCode> {
     start_quiet_logging();
-    let platform: SocketAddr = arguments.value_from_str("--platform").map_err(usage)?;
-    let file: Option<String> = arguments.opt_value_from_str("--file").map_err(usage)?;
+    let platform: SocketAddr = arguments.value_from_str("--platform").map_err(usage_error)?;
+    let file: Option<String> = arguments.opt_value_from_str("--file").map_err(usage_error)?;
     let format = read_format(&mut arguments)?;
     let dry_run = arguments.contains("--dry-run");
     let words: Vec<String> =
@@ -92,11 +93,11 @@
     if let [first, command] = words.as_slice()
         && first == "outcome"
     {
-        return ctl::show_past_outcome(&store, command).await;
+        return ctl::print_past_outcome(&store, command).await;
     }
-    let (name, script) = match file {
+    let (script_name, script) = match file {
         Some(_) if !words.is_empty() => {
-            return Err(UsageError("give either --file or a statement".to_owned()).into());
+            return Err(UsageError("--file and a statement cannot be combined".to_owned()).into());
         }
         Some(file) => {
             let script = std::fs::read_to_string(&file);
@@ -108,7 +109,7 @@
         }
         None => ("statement".to_owned(), words.join(" ")),
     };
-    ctl::run(&store, &Call { name, script, dry_run, format }).await
+    ctl::run(&store, &Invocation { script_name, script, dry_run, format }).await
 }
 
 fn run_check(arguments: Arguments) -> Result<ExitCode> {
@@ -122,15 +123,15 @@
 
 async fn run_demo(mut arguments: Arguments) -> Result<ExitCode> {
     start_quiet_logging();
-    let seconds: Option<u64> = arguments.opt_value_from_str("--seconds").map_err(usage)?;
-    let seed: Option<u64> = arguments.opt_value_from_str("--seed").map_err(usage)?;
-    let listen = arguments.opt_value_from_str("--listen").map_err(usage)?;
+    let seconds: Option<u64> = arguments.opt_value_from_str("--seconds").map_err(usage_error)?;
+    let seed: Option<u64> = arguments.opt_value_from_str("--seed").map_err(usage_error)?;
+    let listen = arguments.opt_value_from_str("--listen").map_err(usage_error)?;
     let format = read_format(&mut arguments)?;
-    refuse_rest(arguments)?;
-    let seconds = seconds.unwrap_or(demo::DEFAULT_SECONDS);
-    if seconds < demo::FEWEST_SECONDS {
-        let least = demo::FEWEST_SECONDS;
-        return Err(UsageError(format!("--seconds must be at least {least}")).into());
+    reject_unused_arguments(arguments)?;
+    let seconds = seconds.unwrap_or(demo::DEFAULT_DURATION_SECONDS);
+    if seconds < demo::MIN_DURATION_SECONDS {
+        let min_seconds = demo::MIN_DURATION_SECONDS;
+        return Err(UsageError(format!("--seconds must be at least {min_seconds}")).into());
     }
     let settings = DemoSettings {
         duration: Duration::from_secs(seconds),
@@ -142,7 +143,7 @@
 }
 
 fn read_format(arguments: &mut Arguments) -> Result<Format> {
-    let format: Option<String> = arguments.opt_value_from_str("--format").map_err(usage)?;
+    let format: Option<String> = arguments.opt_value_from_str("--format").map_err(usage_error)?;
     match format.as_deref() {
         None | Some("table") => Ok(Format::Table),
         Some("json") => Ok(Format::Json),
--- a/crates/app/src/demo/report.rs
+++ b/crates/app/src/demo/report.rs
@@ -1,13 +1,13 @@
-//! The demo's result.
+//! The demo's result and the guarantees it checks.
 
-use super::tally::Tally;
-use super::world::World;
-use crate::ctl::{Format, table};
+use super::cluster::DemoCluster;
+use super::stats::DemoStats;
+use crate::ctl::{Format, format_table};
 use serde::Serialize;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The result; its JSON form is the object that `--format json` prints.
+/// The result, which `--format json` prints as a JSON object with these field names.
 #[derive(Debug, Serialize)]
 pub(super) struct Report {
     seconds: f64,
@@ -15,57 +15,70 @@
     flows_broken: u64,
     broken_by_cause: BTreeMap<String, u64>,
     requests_sent: u64,
+    /// Requests with a complete and correct response that ran exactly once.
     answered_whole_once: u64,
     submissions_answered: u64,
+    /// Incomplete or incorrect responses.
     wrong_answers: u64,
+    /// Requests that ran more than once.
     doubled: u64,
+    /// Requests that a back end rejected with status 503 because its queue was full.
     refused_not_run: u64,
+    /// Rejected requests that ran all the same.
     refused_but_run: u64,
+    /// Requests answered by a back end of another service.
     misdelivered: u64,
+    /// Flows opened on the drained back end after the drain had to be effective.
     opened_after_drain: u64,
+    /// Distinct configuration revisions on running balancers and agents at the end.
     revisions_in_force: Vec<u64>,
+    /// Per service: flows of its busiest back end divided by the mean, averaged over the run.
     imbalance: BTreeMap<&'static str, f64>,
+    /// Mean traffic per balancer or agent for configuration and probes.
     control_bytes_per_second: f64,
     promises_held: bool,
 }
 
 impl Report {
     pub(super) fn new(
-        tally: &Tally,
-        world: &World,
+        stats: &DemoStats,
+        cluster: &DemoCluster,
         executions: &BTreeMap<String, u64>,
         elapsed: Duration,
     ) -> Report {
         let doubled = executions.values().filter(|runs| **runs > 1).count() as u64;
-        let refused = &tally.refused_not_run;
+        let refused = &stats.rejected_requests;
         let refused_but_run = refused.iter().filter(|request| executions.contains_key(*request));
-        let broken = tally.broken_by_cause.iter();
+        let broken = stats.broken_by_cause.iter();
         let mut report = Report {
             seconds: elapsed.as_secs_f64(),
-            flows_opened: tally.flows_opened,
-            flows_broken: tally.flows_broken(),
+            flows_opened: stats.flows_opened,
+            flows_broken: stats.flows_broken(),
             broken_by_cause: broken
                 .map(|(cause, count)| (format!("{cause:?}").to_lowercase(), *count))
                 .collect(),
-            requests_sent: tally.requests_sent,
-            answered_whole_once: tally.answered_whole - doubled,
-            submissions_answered: tally.submissions_answered,
-            wrong_answers: tally.wrong,
+            requests_sent: stats.requests_sent,
+            answered_whole_once: stats.valid_responses - doubled,
+            submissions_answered: stats.submissions_answered,
+            wrong_answers: stats.invalid_responses,
             doubled,
             refused_not_run: refused.len() as u64,
             refused_but_run: refused_but_run.count() as u64,
-            misdelivered: tally.misdelivered,
-            opened_after_drain: world.opened_after_drain(),
-            revisions_in_force: world.revisions(),
-            imbalance: tally.imbalance(),
-            control_bytes_per_second: world.control_bytes_per_second(),
+            misdelivered: stats.misdelivered,
+            opened_after_drain: cluster.opened_after_drain(),
+            revisions_in_force: cluster.revisions(),
+            imbalance: stats.imbalance(),
+            control_bytes_per_second: cluster.control_bytes_per_second(),
             promises_held: false,
         };
-        report.promises_held = report.check();
+        report.promises_held = report.all_guarantees_hold();
         report
     }
 
-    fn check(&self) -> bool {
+    /// Whether all guarantees held: no flow broke, each request ran at most once and was either
+    /// answered correctly or rejected without running, the drained back end got no new flow, and
+    /// all balancers and agents ended with the same configuration.
+    fn all_guarantees_hold(&self) -> bool {
         let answered = self.answered_whole_once + self.refused_not_run;
         self.flows_opened > 0
             && self.flows_broken == 0
@@ -84,13 +97,13 @@
 
     pub(super) fn render(&self, format: Format) -> String {
         match format {
-            // Plain data with string keys always serializes.
+            // Serializing plain data with string keys cannot fail.
             Format::Json => serde_json::to_string(self).unwrap_or_default(),
-            Format::Table => self.table(),
+            Format::Table => self.render_table(),
         }
     }
 
-    fn table(&self) -> String {
+    fn render_table(&self) -> String {
         let mut rows: Vec<Vec<String>> = Vec::new();
         let mut row = |name: &str, value: String| rows.push(vec![name.to_owned(), value]);
         row("flows opened", self.flows_opened.to_string());
@@ -113,6 +126,6 @@
         }
         row("control bytes a second", format!("{:.0}", self.control_bytes_per_second));
         row("promises held", if self.promises_held { "yes" } else { "NO" }.to_owned());
-        table(&["measure", "value"], &rows)
+        format_table(&["measure", "value"], &rows)
     }
 }
--- a/crates/app/src/metrics.rs
+++ b/crates/app/src/metrics.rs
@@ -1,8 +1,8 @@
-//! Counters in the Prometheus text format and as periodic log lines.
+//! Exposes a process's counters in the Prometheus text format and as periodic log lines.
 
 use hyper::StatusCode;
-use loftdrift_counters::{CounterSet, PublishedSet, render, summary};
-use loftdrift_http::text_answer;
+use loftdrift_counters::{CounterSet, PublishedSet, format_nonzero, render};
+use loftdrift_http::text_response;
 use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::watch;
@@ -11,17 +11,17 @@
 pub const PUBLISH_INTERVAL: Duration = Duration::from_millis(200);
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A channel on which a process publishes its counters.
+/// Creates the channel on which a process publishes its counters.
 pub fn channel(role: &'static str) -> (watch::Sender<PublishedSet>, watch::Receiver<PublishedSet>) {
     watch::channel(PublishedSet { role, samples: Vec::new(), histograms: Vec::new() })
 }
 
-/// Publishes a counter set.
+/// Publishes the current values of a counter set.
 pub fn publish(counters: &watch::Sender<PublishedSet>, set: &impl CounterSet) {
     counters.send_modify(|published| published.samples = set.samples());
 }
 
-/// The value that was published last under a name; 0 before the first time.
+/// The latest published value of a counter, or 0 if it was not published yet.
 pub fn value(counters: &watch::Receiver<PublishedSet>, name: &str) -> u64 {
     let published = counters.borrow();
     let sample = published.samples.iter().find(|sample| sample.name == name);
@@ -31,20 +31,20 @@
 /// Serves `/metrics` until the task is dropped.
 pub async fn serve(listener: TcpListener, counters: watch::Receiver<PublishedSet>) {
     loftdrift_http::serve(listener, move |request| {
-        let answer = match request.uri().path() {
-            "/metrics" => text_answer(StatusCode::OK, render(&[counters.borrow().clone()])),
-            _ => text_answer(StatusCode::NOT_FOUND, "metrics are at /metrics"),
+        let response = match request.uri().path() {
+            "/metrics" => text_response(StatusCode::OK, render(&[counters.borrow().clone()])),
+            _ => text_response(StatusCode::NOT_FOUND, "metrics are at /metrics"),
         };
-        std::future::ready(Some(answer))
+        std::future::ready(Some(response))
     })
     .await;
 }
 
-/// Logs a line of counters every ten seconds until the process is gone.
+/// Logs the counters every ten seconds until their publisher has ended.
 pub async fn log_periodically(mut counters: watch::Receiver<PublishedSet>) {
     while counters.changed().await.is_ok() {
         tokio::time::sleep(LOG_INTERVAL).await;
         let published = counters.borrow_and_update().clone();
-        log::info!(role = published.role; "counters {}", summary(&published.samples));
+        log::info!(role = published.role; "counters {}", format_nonzero(&published.samples));
     }
 }
--- a/crates/app/src/process.rs
+++ b/crates/app/src/process.rs
@@ -1,4 +1,5 @@
-//! Runs a balancer or an agent as its own process, with its configuration and metrics.
+//! Runs a balancer or an agent as a process: opens its socket, follows the configuration and
+//! serves metrics.
 
 use crate::agent_process::{self, AgentTask};
 use crate::balancer_process::{self, BalancerTask};
@@ -8,7 +9,7 @@
 use loftdrift_agent::AgentSettings;
 use loftdrift_configuration::Configuration;
 use loftdrift_counters::PublishedSet;
-use loftdrift_settings::{AgentProcess, BalancerProcess, Role};
+use loftdrift_settings::{AgentProcessSettings, BalancerProcessSettings, Role};
 use loftdrift_store::{StoreClient, follow_configuration};
 use std::net::SocketAddrV4;
 use std::sync::Arc;
@@ -16,16 +17,17 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::JoinSet;
 
-/// What a daemon works with besides its own settings.
-struct Surroundings {
+/// Resources that balancers and agents need besides their own settings.
+struct ProcessResources {
     socket: UdpSocket,
     configuration: watch::Receiver<Option<Arc<Configuration>>>,
     counters: watch::Sender<PublishedSet>,
-    /// Follows the configuration and serves metrics until it is dropped.
+    /// Tasks that follow the configuration, log counters and serve metrics. Dropping it aborts
+    /// them.
     background: JoinSet<()>,
 }
 
-impl Surroundings {
+impl ProcessResources {
     async fn open(
         role: Role,
         listen: SocketAddrV4,
@@ -35,43 +37,46 @@
         let socket = bind_udp("listen", listen).await?;
         announce("listen", socket.local_addr())?;
         let mut background = JoinSet::new();
-        let (published, configuration) = watch::channel(None);
+        let (configuration_sender, configuration) = watch::channel(None);
         let store = StoreClient::new(platform.into());
-        background.spawn(follow_configuration(store, rand::random(), published));
-        let (counters, published_counters) = metrics::channel(role.name());
-        background.spawn(metrics::log_periodically(published_counters.clone()));
+        background.spawn(follow_configuration(store, rand::random(), configuration_sender));
+        let (counters, counters_receiver) = metrics::channel(role.name());
+        background.spawn(metrics::log_periodically(counters_receiver.clone()));
         if let Some(address) = metrics {
             let listener = bind_tcp("metrics", address).await?;
             announce("metrics", listener.local_addr())?;
-            background.spawn(metrics::serve(listener, published_counters));
+            background.spawn(metrics::serve(listener, counters_receiver));
         }
-        Ok(Surroundings { socket, configuration, counters, background })
+        Ok(ProcessResources { socket, configuration, counters, background })
     }
 }
 
 /// Runs a balancer until it is stopped.
-pub async fn run_balancer(settings: BalancerProcess, stop: mpsc::Receiver<()>) -> Result<()> {
-    let BalancerProcess { listen, platform, metrics, .. } = settings;
-    let surroundings = Surroundings::open(Role::Balancer, listen, platform, metrics).await?;
-    let _background = surroundings.background;
+pub async fn run_balancer(
+    settings: BalancerProcessSettings,
+    stop: mpsc::Receiver<()>,
+) -> Result<()> {
+    let BalancerProcessSettings { listen, platform, metrics, .. } = settings;
+    let resources = ProcessResources::open(Role::Balancer, listen, platform, metrics).await?;
+    let _background = resources.background;
     balancer_process::run(BalancerTask {
-        socket: surroundings.socket,
-        drain: settings.drain,
+        socket: resources.socket,
+        drain_duration: settings.drain_duration,
         probes_per_second: settings.probes_per_second,
-        configuration: surroundings.configuration,
+        configuration: resources.configuration,
         stop,
-        counters: surroundings.counters,
+        counters: resources.counters,
     })
     .await
 }
 
 /// Runs an agent until it is stopped.
-pub async fn run_agent(settings: AgentProcess, stop: mpsc::Receiver<()>) -> Result<()> {
-    let AgentProcess { listen, platform, metrics, .. } = settings;
-    let surroundings = Surroundings::open(Role::Agent, listen, platform, metrics).await?;
-    let _background = surroundings.background;
+pub async fn run_agent(settings: AgentProcessSettings, stop: mpsc::Receiver<()>) -> Result<()> {
+    let AgentProcessSettings { listen, platform, metrics, .. } = settings;
+    let resources = ProcessResources::open(Role::Agent, listen, platform, metrics).await?;
+    let _background = resources.background;
     agent_process::run(AgentTask {
-        socket: surroundings.socket,
+        socket: resources.socket,
         settings: AgentSettings {
             backend: settings.backend,
             fabric: settings.fabric,
@@ -82,10 +87,10 @@
             ramp: settings.ramp,
             seed: rand::random(),
         },
-        drain: settings.drain,
-        configuration: surroundings.configuration,
+        drain_timeout: settings.drain_timeout,
+        configuration: resources.configuration,
         stop,
-        counters: surroundings.counters,
+        counters: resources.counters,
     })
     .await
 }
--- a/crates/app/src/standins.rs
+++ b/crates/app/src/standins.rs
@@ -1,10 +1,11 @@
-//! Wires the stand-ins to their settings.
+//! Starts the simulated fabric, platform, back end and callers from their settings.
 
 use crate::command_line::EXIT_FAILED;
 use crate::sockets::{announce, bind_tcp, bind_udp};
 use anyhow::Result;
 use loftdrift_settings::{
-    BackendProcess, CallersProcess, FabricProcess, ListenerTransport, PlatformProcess,
+    BackendProcessSettings, CallersProcessSettings, FabricProcessSettings, ListenerTransport,
+    PlatformProcessSettings,
 };
 use loftdrift_standin::backend::{self, BackendSettings};
 use loftdrift_standin::callers::{self, CallerEvent, CallerSettings};
@@ -14,10 +15,10 @@
 use std::process::ExitCode;
 use tokio::sync::{mpsc, watch};
 
-const EVENT_QUEUE: usize = 1_024;
+const EVENT_QUEUE_CAPACITY: usize = 1_024;
 
-/// Runs the platform until it is killed.
-pub async fn run_platform(settings: PlatformProcess) -> Result<()> {
+/// Runs the simulated platform until the process is killed.
+pub async fn run_platform(settings: PlatformProcessSettings) -> Result<()> {
     let listener = bind_tcp("listen", settings.listen).await?;
     announce("listen", listener.local_addr())?;
     let faults = Faults {
@@ -29,25 +30,25 @@
     Ok(())
 }
 
-/// Runs a back end until it is killed.
-pub async fn run_backend(settings: BackendProcess) -> Result<()> {
+/// Runs a simulated back end until the process is killed.
+pub async fn run_backend(settings: BackendProcessSettings) -> Result<()> {
     let listener = bind_tcp("listen", settings.listen).await?;
     announce("listen", listener.local_addr())?;
-    let behaviour = BackendSettings {
+    let backend_settings = BackendSettings {
         service: settings.service,
         name: settings.name,
         slots: settings.slots,
-        queue: settings.queue,
-        work: settings.work,
+        queue_capacity: settings.max_queued,
+        work_duration: settings.work_duration,
         cold_start: settings.cold_start,
         load_lag: settings.load_lag,
     };
-    backend::serve(listener, behaviour).await;
+    backend::serve(listener, backend_settings).await;
     Ok(())
 }
 
-/// Runs the fabric until it is killed.
-pub async fn run_fabric(settings: FabricProcess) -> Result<()> {
+/// Runs the simulated network fabric until the process is killed.
+pub async fn run_fabric(settings: FabricProcessSettings) -> Result<()> {
     let socket = bind_udp("listen", settings.listen).await?;
     announce("listen", socket.local_addr())?;
     let mut listeners = Vec::new();
@@ -75,10 +76,10 @@
     fabric::serve(socket, listeners, fabric_settings).await
 }
 
-/// Runs callers for their time and prints what they saw; fails when a flow broke or an answer was
-/// wrong.
-pub async fn run_callers(settings: CallersProcess) -> Result<ExitCode> {
-    let (events_sender, mut events) = mpsc::channel(EVENT_QUEUE);
+/// Runs callers for the configured time and prints their event counts as JSON. The exit code is
+/// [`EXIT_FAILED`] if a flow broke or a response was wrong.
+pub async fn run_callers(settings: CallersProcessSettings) -> Result<ExitCode> {
+    let (events_sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let (stop_sender, stop) = watch::channel(false);
     for caller in 0..settings.callers {
         let settings = caller_settings(&settings);
@@ -86,8 +87,8 @@
     }
     drop(events_sender);
     tokio::spawn(async move {
-        tokio::time::sleep(settings.seconds).await;
-        // Callers that have ended already need no telling.
+        tokio::time::sleep(settings.duration).await;
+        // Sending fails only when all callers have already ended.
         let _ = stop_sender.send(true);
     });
     let mut counts: BTreeMap<String, u64> = BTreeMap::new();
@@ -95,13 +96,13 @@
         *counts.entry(event_name(&event)).or_default() += 1;
     }
     println!("{}", serde_json::to_string(&counts)?);
-    let bad = counts
+    let has_failures = counts
         .keys()
         .any(|name| name.starts_with("broken") || name == "wrong" || name == "misdelivered");
-    Ok(if bad { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
+    Ok(if has_failures { ExitCode::from(EXIT_FAILED) } else { ExitCode::SUCCESS })
 }
 
-fn caller_settings(settings: &CallersProcess) -> CallerSettings {
+fn caller_settings(settings: &CallersProcessSettings) -> CallerSettings {
     CallerSettings {
         service: settings.service.clone(),
         address: settings.address.into(),
@@ -113,14 +114,15 @@
     }
 }
 
+/// Name under which an event is counted in the JSON output.
 fn event_name(event: &CallerEvent) -> String {
     match event {
         CallerEvent::Opened => "flows_opened".to_owned(),
         CallerEvent::Broken(cause) => format!("broken_{cause:?}").to_lowercase(),
         CallerEvent::Sent(_) => "requests_sent".to_owned(),
-        CallerEvent::Whole { .. } => "answered_whole".to_owned(),
-        CallerEvent::Wrong(_) => "wrong".to_owned(),
-        CallerEvent::RefusedNotRun(_) => "refused_not_run".to_owned(),
+        CallerEvent::Completed { .. } => "answered_whole".to_owned(),
+        CallerEvent::InvalidResponse(_) => "wrong".to_owned(),
+        CallerEvent::Rejected(_) => "refused_not_run".to_owned(),
         CallerEvent::Misdelivered(_) => "misdelivered".to_owned(),
     }
 }
--- a/crates/app/tests/support/link.rs
+++ b/crates/app/tests/support/link.rs
@@ -1,4 +1,4 @@
-//! UDP and TCP links to a process that can be cut and mended.
+//! UDP and TCP relays to a process whose traffic can be blocked and restored.
 
 use std::collections::HashMap;
 use std::io::{Read, Write};
@@ -10,20 +10,21 @@
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 
-/// Relays datagrams to a process and its answers back to each sender.
-pub struct Link {
+/// Relays datagrams to a process, and its replies back to each sender. While the link is cut, it
+/// drops them.
+pub struct UdpLink {
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
 }
 
-impl Link {
-    pub fn to(target: SocketAddr) -> Link {
-        let front = UdpSocket::bind("127.0.0.1:0").expect("a port");
-        let address = front.local_addr().expect("an address");
+impl UdpLink {
+    pub fn to(target: SocketAddr) -> UdpLink {
+        let listener_socket = UdpSocket::bind("127.0.0.1:0").expect("failed to bind a socket");
+        let address = listener_socket.local_addr().expect("socket has no address");
         let cut = Arc::new(AtomicBool::new(false));
         let is_cut = Arc::clone(&cut);
-        thread::spawn(move || relay(&front, target, &is_cut));
-        Link { address, cut }
+        thread::spawn(move || relay_requests(&listener_socket, target, &is_cut));
+        UdpLink { address, cut }
     }
 
     pub fn set_cut(&self, cut: bool) {
@@ -31,41 +32,47 @@
     }
 }
 
-fn relay(front: &UdpSocket, target: SocketAddr, cut: &Arc<AtomicBool>) {
-    let mut backs: HashMap<SocketAddr, UdpSocket> = HashMap::new();
+fn relay_requests(listener_socket: &UdpSocket, target: SocketAddr, cut: &Arc<AtomicBool>) {
+    let mut upstream_sockets: HashMap<SocketAddr, UdpSocket> = HashMap::new();
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
-    while let Ok((length, sender)) = front.recv_from(&mut buffer) {
+    while let Ok((length, sender)) = listener_socket.recv_from(&mut buffer) {
         if cut.load(Ordering::SeqCst) {
             continue;
         }
-        let back = backs.entry(sender).or_insert_with(|| {
-            let back = UdpSocket::bind("127.0.0.1:0").expect("a port");
-            back.connect(target).expect("an address");
-            let answers = back.try_clone().expect("a socket");
-            let front = front.try_clone().expect("a socket");
+        let upstream = upstream_sockets.entry(sender).or_insert_with(|| {
+            let upstream = UdpSocket::bind("127.0.0.1:0").expect("failed to bind a socket");
+            upstream.connect(target).expect("failed to set the target address");
+            let replies = upstream.try_clone().expect("failed to duplicate the socket");
+            let listener_socket =
+                listener_socket.try_clone().expect("failed to duplicate the socket");
             let cut = Arc::clone(cut);
-            thread::spawn(move || relay_answers(&answers, &front, sender, &cut));
-            back
+            thread::spawn(move || relay_replies(&replies, &listener_socket, sender, &cut));
+            upstream
         });
-        // A dead target shows as an error here; the next datagram is tried all the same.
-        let _ = back.send(&buffer[..length]);
+        // Sending fails while the target is dead; later datagrams are still attempted.
+        let _ = upstream.send(&buffer[..length]);
     }
 }
 
-fn relay_answers(back: &UdpSocket, front: &UdpSocket, sender: SocketAddr, cut: &AtomicBool) {
+fn relay_replies(
+    upstream: &UdpSocket,
+    listener_socket: &UdpSocket,
+    sender: SocketAddr,
+    cut: &AtomicBool,
+) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        let Ok(length) = back.recv(&mut buffer) else {
+        let Ok(length) = upstream.recv(&mut buffer) else {
             thread::yield_now();
             continue;
         };
         if !cut.load(Ordering::SeqCst) {
-            let _ = front.send_to(&buffer[..length], sender);
+            let _ = listener_socket.send_to(&buffer[..length], sender);
         }
     }
 }
 
-/// Relays TCP connections to a process; while it is cut, bytes and new connections wait.
+/// Relays TCP connections to a process. While the link is cut, data and new connections wait.
 pub struct TcpLink {
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
@@ -73,19 +80,19 @@
 
 impl TcpLink {
     pub fn to(target: SocketAddr) -> TcpLink {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a socket");
+        let address = listener.local_addr().expect("socket has no address");
         let cut = Arc::new(AtomicBool::new(false));
         let is_cut = Arc::clone(&cut);
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
-                wait_while(&is_cut);
-                let Ok(far) = TcpStream::connect(target) else { continue };
-                for (from, to) in [(&near, &far), (&far, &near)] {
-                    let from = from.try_clone().expect("a socket");
-                    let to = to.try_clone().expect("a socket");
+            for client in listener.incoming().flatten() {
+                wait_while_cut(&is_cut);
+                let Ok(server) = TcpStream::connect(target) else { continue };
+                for (from, to) in [(&client, &server), (&server, &client)] {
+                    let from = from.try_clone().expect("failed to duplicate the socket");
+                    let to = to.try_clone().expect("failed to duplicate the socket");
                     let cut = Arc::clone(&is_cut);
-                    thread::spawn(move || carry(from, to, &cut));
+                    thread::spawn(move || copy_until_closed(from, to, &cut));
                 }
             }
         });
@@ -97,20 +104,20 @@
     }
 }
 
-fn wait_while(cut: &AtomicBool) {
+fn wait_while_cut(cut: &AtomicBool) {
     while cut.load(Ordering::SeqCst) {
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-fn carry(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
+fn copy_until_closed(mut from: TcpStream, mut to: TcpStream, cut: &AtomicBool) {
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     while let Ok(length @ 1..) = from.read(&mut buffer) {
-        wait_while(cut);
+        wait_while_cut(cut);
         if to.write_all(&buffer[..length]).is_err() {
             return;
         }
     }
-    // The peer may have gone already.
+    // The peer may have closed the connection already.
     let _ = to.shutdown(std::net::Shutdown::Write);
 }
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -1,4 +1,4 @@
-//! Every kind of bad datagram is dropped under its own counter.
+//! Every kind of invalid datagram is dropped and counted by its own counter.
 
 use etherparse::PacketBuilder;
 use loftdrift_balancer::{Balancer, BalancerCounters, HEADROOM_BYTES, MAX_INNER_BYTES, Verdict};
@@ -12,20 +12,21 @@
 const PROBING: ProbeSettings = ProbeSettings {
     interval: Duration::from_secs(1),
     timeout: Duration::from_millis(400),
-    misses: 3,
-    most_per_second: 10,
+    miss_threshold: 3,
+    max_per_second: 10,
 };
 
 fn fabric() -> SocketAddrV4 {
-    "10.0.0.1:6081".parse().expect("an address")
+    "10.0.0.1:6081".parse().expect("valid address")
 }
 
 fn balancer() -> Balancer {
     let script = "create service tiles at 10.20.0.1:80\n\
          attach backend tiles-1 to tiles at 127.0.0.1:9001 agent 10.2.0.1:6081 state active\n\
          create service empty at 10.20.0.3:80";
-    let statements = parse_script("test", script).expect("a script");
-    let configuration = apply(&Configuration::default(), &statements).expect("a change that fits");
+    let statements = parse_script("test", script).expect("valid script");
+    let configuration =
+        apply(&Configuration::default(), &statements).expect("applicable statements");
     let mut balancer = Balancer::new(PROBING);
     assert!(balancer.adopt(Duration::ZERO, &configuration));
     balancer
@@ -41,7 +42,7 @@
 fn syn(service: [u8; 4], payload: &[u8]) -> Vec<u8> {
     let builder = PacketBuilder::ipv4([10, 9, 0, 1], service, 64).tcp(4_000, 80, 1, 8_192).syn();
     let mut packet = Vec::new();
-    builder.write(&mut packet, payload).expect("a packet");
+    builder.write(&mut packet, payload).expect("valid packet");
     packet
 }
 
@@ -49,7 +50,7 @@
     syn([10, 20, 0, 1], &[])
 }
 
-/// Asserts that the datagram is dropped and that exactly the named counter has risen.
+/// Asserts that the datagram is dropped and not forwarded, and that `counter` has risen by one.
 fn assert_dropped(datagram: &[u8], counter: fn(&BalancerCounters) -> u64) {
     let mut balancer = balancer();
     let before = balancer.counters;
@@ -65,10 +66,10 @@
     let packet = tiles_syn();
     let (verdict, buffer) = handle(&mut balancer, &encode_packet(0, None, &packet));
     let Verdict::Forward(forward) = verdict else { panic!("{verdict:?}") };
-    assert_eq!(forward.to, "10.2.0.1:6081".parse().expect("an address"));
-    let sent = GenevePacket::parse(&buffer[forward.start..forward.end]).expect("a packet");
+    assert_eq!(forward.to, "10.2.0.1:6081".parse().expect("valid address"));
+    let sent = GenevePacket::parse(&buffer[forward.start..forward.end]).expect("valid packet");
     assert_eq!((sent.vni, sent.inner), (1, packet.as_slice()));
-    assert_eq!(sent.steering.map(|option| option.mode), Some(SteeringMode::Tour));
+    assert_eq!(sent.steering.map(|option| option.mode), Some(SteeringMode::Select));
 }
 
 #[test]
@@ -102,7 +103,7 @@
 }
 
 #[test]
-fn an_unknown_option_that_is_not_critical_is_passed_over() {
+fn an_unknown_option_that_is_not_critical_is_skipped() {
     let good = encode_packet(0, None, &tiles_syn());
     let mut optional = good[..8].to_vec();
     optional[0] = 1;
@@ -113,10 +114,10 @@
 }
 
 #[test]
-fn a_draining_balancer_answers_no_echo_and_forwards_on() {
+fn a_draining_balancer_answers_no_echo_and_still_forwards() {
     let mut balancer = balancer();
     let echo = Echo { kind: EchoKind::Request, sequence: 9 }.encode();
-    assert!(matches!(handle(&mut balancer, &echo).0, Verdict::Answer(_)));
+    assert!(matches!(handle(&mut balancer, &echo).0, Verdict::Reply(_)));
     balancer.start_draining();
     assert_eq!(handle(&mut balancer, &echo).0, Verdict::Done);
     let packet = encode_packet(0, None, &tiles_syn());
@@ -139,9 +140,9 @@
         let mut datagram: Vec<u8> = input.arbitrary()?;
         if input.arbitrary()? {
             let good = encode_packet(0, None, &tiles_syn());
-            let place = input.int_in_range(0..=good.len() - 1)?;
+            let offset = input.int_in_range(0..=good.len() - 1)?;
             datagram = good;
-            datagram[place] = input.arbitrary()?;
+            datagram[offset] = input.arbitrary()?;
         }
         handle(&mut balancer, &datagram);
         assert_eq!(balancer.counters.received, 1);
@@ -149,7 +150,7 @@
     });
 }
 
-/// The packet with the *more fragments* flag and a right checksum.
+/// A SYN packet with the *more fragments* flag and a valid IPv4 header checksum.
 fn fragment() -> Vec<u8> {
     let mut packet = tiles_syn();
     packet[6] |= 0x20;
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -313,7 +313,7 @@
     /// The counters so far, and the current gauges.
     pub fn counters(&self, now: Duration) -> CarriedAgentCounters {
         CarriedAgentCounters {
-            flows: self.flows.busy() as u64,
+            flows: self.flows.active_flows() as u64,
             waiting: u64::from(self.in_flight),
             in_line: self.wait_queue.len() as u64,
             peers: self.standing.membership.len() as u64,
--- a/crates/carried/src/breaker.rs
+++ b/crates/carried/src/breaker.rs
@@ -89,7 +89,9 @@
     pub(crate) fn state(&self, now: Duration) -> BreakerState {
         let is_expired = now.saturating_sub(self.state_since) >= self.open_duration;
         match self.state {
-            BreakerState::Open if is_expired => CHART.next(self.state, BreakerEvent::OpenExpired),
+            BreakerState::Open if is_expired => {
+                CHART.next_state(self.state, BreakerEvent::OpenExpired)
+            }
             state => state,
         }
     }
@@ -109,7 +111,7 @@
         self.failure_rate += OUTCOME_WEIGHT * (f64::from(u8::from(failed)) - self.failure_rate);
         self.advance(now);
         let Some(event) = self.event(failed) else { return false };
-        self.transition(now, CHART.next(self.state, event));
+        self.transition(now, CHART.next_state(self.state, event));
         self.state == BreakerState::Open
     }
 
--- a/crates/configuration/src/edit.rs
+++ b/crates/configuration/src/edit.rs
@@ -1,64 +1,65 @@
-//! Applies statements to a configuration, whole or not at all.
+//! Applies statements to a configuration: either all of them or none.
 
 use crate::language::{Statement, StatementKind};
 use crate::lifecycle::{BackendEvent, BackendState, backend_chart};
 use crate::model::{Backend, Configuration, Service, Site, SiteShift, Version};
-use loftdrift_charts::{ChartNames, TypedStep};
+use loftdrift_charts::{ChartNames, TypedTransition};
 use loftdrift_wire::MAX_VNI;
 use std::collections::BTreeMap;
 use std::time::Duration;
 use thiserror::Error;
 
-/// Why a statement cannot be applied. Nothing of its script is.
+/// Why a statement cannot be applied. One such statement causes the whole script to be refused.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum EditError {
-    /// The service exists.
-    #[error("service `{0}` exists already")]
+    /// A service of that name already exists.
+    #[error("service `{0}` already exists")]
     ServiceExists(String),
     /// There is no such service.
     #[error("there is no service `{0}`")]
     UnknownService(String),
-    /// Another service has that address.
-    #[error("service `{0}` has that address already")]
-    AddressTaken(String),
+    /// Another service, named here, has the same address and transport.
+    #[error("service `{0}` already uses that address")]
+    AddressInUse(String),
     /// The service still has back ends.
     #[error("service `{0}` still has back ends; detach them first")]
     ServiceInUse(String),
-    /// The back end exists.
-    #[error("back end `{0}` exists already")]
+    /// A back end of that name already exists.
+    #[error("back end `{0}` already exists")]
     BackendExists(String),
     /// There is no such back end.
     #[error("there is no back end `{0}`")]
     UnknownBackend(String),
-    /// Another back end has that agent.
-    #[error("back end `{0}` has that agent already")]
-    AgentTaken(String),
-    /// The back end's state does not allow it.
+    /// Another back end, named here, has the same agent address.
+    #[error("back end `{0}` already uses that agent address")]
+    AgentInUse(String),
+    /// The back end's state does not allow the command.
     #[error("back end `{name}` is {state}, which does not allow {event}")]
     NotAllowed {
         /// The back end.
         name: String,
-        /// Its state.
+        /// Its state, as named in its chart.
         state: &'static str,
-        /// The command.
+        /// The command, as named in the chart.
         event: &'static str,
     },
-    /// Identities are used up.
-    #[error("no identity is left for another {0}")]
-    IdentitiesUsedUp(&'static str),
-    /// The program's own chart is broken.
+    /// Every id of a service or back end has been assigned; ids are never reused.
+    #[error("no id is left for another {0}")]
+    IdsExhausted(&'static str),
+    /// The state chart of back ends, which is part of the program, is invalid.
     #[error("{0}")]
     Chart(#[from] loftdrift_findings::Findings),
 }
 
-/// A refused statement: where it stands and why it is refused.
-pub type PlacedEditError = (usize, EditError);
+/// A refused statement: its byte offset in the script and the reason.
+pub type LocatedEditError = (usize, EditError);
 
-/// The configuration after `statements`, one revision on; queries change nothing.
+/// Returns the configuration after all `statements`, with the next revision, or every statement
+/// that cannot be applied. `show` statements change nothing.
 pub fn apply(
     configuration: &Configuration,
     statements: &[Statement],
-) -> Result<Configuration, Vec<PlacedEditError>> {
+) -> Result<Configuration, Vec<LocatedEditError>> {
     let mut edited = configuration.clone();
     edited.version.revision += 1;
     let mut errors = Vec::new();
@@ -94,18 +95,18 @@
     if configuration.services.contains_key(name) {
         return Err(EditError::ServiceExists(name.clone()));
     }
-    let holder = configuration
+    let name_in_use = configuration
         .services
         .iter()
         .find(|(_, service)| service.address == *address && service.transport == *transport);
-    if let Some((holder, _)) = holder {
-        return Err(EditError::AddressTaken(holder.clone()));
+    if let Some((name_in_use, _)) = name_in_use {
+        return Err(EditError::AddressInUse(name_in_use.clone()));
     }
-    let id = configuration.next_service + 1;
+    let id = configuration.last_service_id + 1;
     if id > MAX_VNI {
-        return Err(EditError::IdentitiesUsedUp("service"));
+        return Err(EditError::IdsExhausted("service"));
     }
-    configuration.next_service = id;
+    configuration.last_service_id = id;
     let service = Service {
         id,
         address: *address,
@@ -152,15 +153,15 @@
         return Err(EditError::BackendExists(name.clone()));
     }
     let mut backends = configuration.services.values().flat_map(|service| &service.backends);
-    if let Some((holder, _)) = backends.find(|(_, backend)| backend.agent == *agent) {
-        return Err(EditError::AgentTaken(holder.clone()));
+    if let Some((name_in_use, _)) = backends.find(|(_, backend)| backend.agent == *agent) {
+        return Err(EditError::AgentInUse(name_in_use.clone()));
     }
     let version = configuration.version;
-    let id = configuration.next_backend.checked_add(1);
-    let id = id.ok_or(EditError::IdentitiesUsedUp("back end"))?;
+    let id = configuration.last_backend_id.checked_add(1);
+    let id = id.ok_or(EditError::IdsExhausted("back end"))?;
     let target = configuration.services.get_mut(service);
     let target = target.ok_or_else(|| EditError::UnknownService(service.clone()))?;
-    configuration.next_backend = id;
+    configuration.last_backend_id = id;
     let backend = Backend {
         id,
         agent: *agent,
@@ -188,13 +189,13 @@
     let unknown = || EditError::UnknownBackend(name.to_owned());
     let service = service.ok_or_else(unknown)?;
     let backend = service.backends.get_mut(name).ok_or_else(unknown)?;
-    match chart.step(backend.state, event) {
-        TypedStep::To(BackendState::Detached) => {
+    match chart.transition(backend.state, event) {
+        TypedTransition::To(BackendState::Detached) => {
             service.backends.remove(name);
         }
-        TypedStep::To(state) => backend.state = state,
-        TypedStep::Stay => return Ok(()),
-        TypedStep::Refuse => {
+        TypedTransition::To(state) => backend.state = state,
+        TypedTransition::Stay => return Ok(()),
+        TypedTransition::Refuse => {
             let state = backend.state.name();
             let event = event.name();
             return Err(EditError::NotAllowed { name: name.to_owned(), state, event });
@@ -204,11 +205,13 @@
     Ok(())
 }
 
-/// A new shift begins at the share that the one before it has reached.
+/// Starts a shift from the share that the service's previous shift has reached by now.
 fn shift(configuration: &mut Configuration, statement: &StatementKind) -> Result<(), EditError> {
     const PERMILLE_PER_PERCENT: u16 = 10;
-    const WHOLE: u16 = 1_000;
-    let StatementKind::Shift { service, site, percent, seconds, starts } = statement else {
+    const WHOLE_PERMILLE: u16 = 1_000;
+    let StatementKind::Shift { service, site, percent, duration_seconds, start_seconds } =
+        statement
+    else {
         return Ok(());
     };
     let version = configuration.version;
@@ -217,17 +220,21 @@
     let share = u16::from(*percent) * PERMILLE_PER_PERCENT;
     let to_permille = match site {
         Site::Right => share,
-        Site::Left => WHOLE - share,
+        Site::Left => WHOLE_PERMILLE - share,
     };
-    let now = Duration::from_secs(*starts);
+    let now = Duration::from_secs(*start_seconds);
     let from_permille = target.shift.map_or(0, |shift| shift.right_permille(now));
-    target.shift =
-        Some(SiteShift { from_permille, to_permille, starts: *starts, seconds: *seconds });
+    target.shift = Some(SiteShift {
+        from_permille,
+        to_permille,
+        start_seconds: *start_seconds,
+        duration_seconds: *duration_seconds,
+    });
     mark_changed(target, version);
     Ok(())
 }
 
 fn mark_changed(service: &mut Service, version: Version) {
     service.changed = version;
-    service.renew_generation(version.revision);
+    service.record_generation(version.revision);
 }
--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -1,4 +1,4 @@
-//! The operators' language: a script of statements, one a line.
+//! The command language for operators: a script with one statement per line.
 
 use crate::lifecycle::{BackendEvent, BackendState};
 use crate::model::{ServiceTransport, Site};
@@ -10,7 +10,7 @@
 
 #[allow(missing_docs)]
 mod grammar {
-    /// The parser made from `commands.pest`.
+    /// The parser generated from `commands.pest`.
     #[derive(pest_derive::Parser)]
     #[grammar = "commands.pest"]
     pub struct CommandParser;
@@ -20,32 +20,33 @@
 const DEFAULT_SLOTS: u32 = 7;
 const DEFAULT_CONNECTIONS: u32 = 2_000;
 const DEFAULT_ZONE: &str = "local";
-/// `docs/design/0001-steering.md` gives imbalance and hops for other lengths.
+/// `docs/design/0001-steering.md` lists load imbalance and extra hops for other numbers of
+/// candidates.
 const DEFAULT_CANDIDATES: u8 = 4;
-const MOST_CANDIDATES: u32 = 6;
-const LONGEST_SHIFT_SECONDS: u64 = 30 * 24 * 3_600;
+const MAX_CANDIDATES: u32 = 6;
+const MAX_SHIFT_SECONDS: u64 = 30 * 24 * 3_600;
 
-/// A statement with its place in the script.
+/// A statement with its position in the script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     /// Byte offset in the script.
     pub offset: usize,
-    /// What it says.
+    /// The command and its arguments.
     pub kind: StatementKind,
 }
 
-/// What a statement says.
+/// The command and the arguments of a statement.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StatementKind {
     /// `create service`
     CreateService {
         /// Name of the new service.
         name: String,
-        /// Address that callers dial.
+        /// Address to which callers connect.
         address: SocketAddrV4,
         /// TCP or UDP.
         transport: ServiceTransport,
-        /// Length of a new flow's tour.
+        /// Number of candidate back ends among which a new flow picks the least loaded.
         candidates: u8,
     },
     /// `delete service`
@@ -59,68 +60,68 @@
         name: String,
         /// Its service.
         service: String,
-        /// Where the agent reaches it.
+        /// Address at which the agent connects to the back end.
         server: SocketAddrV4,
-        /// The agent beside it.
+        /// UDP address of the back end's agent.
         agent: SocketAddrV4,
-        /// Its zone.
+        /// Zone of the back end.
         zone: String,
-        /// Its side of a migration.
+        /// The back end's side of a migration between two data centres.
         site: Site,
-        /// Requests at a time.
+        /// Maximum number of concurrent requests.
         slots: u32,
-        /// Flows at most.
+        /// Maximum number of flows.
         connections: u32,
-        /// Joining or active.
+        /// Initial state: joining or active.
         state: BackendState,
     },
     /// `activate`, `drain` or `detach backend`
     ChangeBackend {
         /// The back end.
         name: String,
-        /// What happens to it.
+        /// The event passed to the back end's state chart.
         event: BackendEvent,
     },
     /// `shift SERVICE to site`
     Shift {
         /// The service.
         service: String,
-        /// The site that new flows move to.
+        /// The site whose share of new flows is set.
         site: Site,
-        /// Its share of new flows at the end, in percent.
+        /// Share of new flows that the site gets at the end of the shift, in percent.
         percent: u8,
-        /// How long the shift takes, in seconds.
-        seconds: u64,
-        /// When it starts, in seconds since the Unix epoch; see [`stamp`].
-        starts: u64,
+        /// Duration of the shift, in seconds.
+        duration_seconds: u64,
+        /// Start of the shift, in seconds since the Unix epoch; set by [`set_start_times`].
+        start_seconds: u64,
     },
     /// `show`
     Show(Query),
 }
 
-/// What a `show` asks for.
+/// What a `show` statement lists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Query {
     /// Every service.
     Services,
     /// Every back end.
     Backends,
-    /// Back ends that are leaving.
+    /// Back ends in state `leaving`.
     Draining,
 }
 
-/// Gives statements that start now their time, in seconds since the Unix epoch.
+/// Sets the start time of every shift to `unix_seconds`, in seconds since the Unix epoch.
 ///
-/// Parsing knows no clock; whoever carries a script out calls this first.
-pub fn stamp(statements: &mut [Statement], unix_seconds: u64) {
+/// The parser has no access to a clock, so this must be called before the statements are applied.
+pub fn set_start_times(statements: &mut [Statement], unix_seconds: u64) {
     for statement in statements {
-        if let StatementKind::Shift { starts, .. } = &mut statement.kind {
-            *starts = unix_seconds;
+        if let StatementKind::Shift { start_seconds, .. } = &mut statement.kind {
+            *start_seconds = unix_seconds;
         }
     }
 }
 
-/// Reads a script; `file` names it in findings.
+/// Parses a script. Findings refer to it as `file`.
 pub fn parse_script(file: &str, text: &str) -> Result<Vec<Statement>, Findings> {
     let mut findings = Collector::new(file, text);
     let mut statements = Vec::new();
@@ -129,7 +130,8 @@
             let script = pairs.flatten().filter(|pair| pair.as_rule() == Rule::statement);
             for pair in script {
                 let offset = pair.as_span().start();
-                let kind = pair.into_inner().next().and_then(|inner| read(&mut findings, inner));
+                let kind =
+                    pair.into_inner().next().and_then(|inner| read_statement(&mut findings, inner));
                 statements.extend(kind.map(|kind| Statement { offset, kind }));
             }
         }
@@ -138,7 +140,7 @@
                 InputLocation::Pos(offset) | InputLocation::Span((offset, _)) => offset,
             };
             let expected = match &error.variant {
-                ErrorVariant::ParsingError { positives, .. } => describe(positives),
+                ErrorVariant::ParsingError { positives, .. } => describe_rules(positives),
                 ErrorVariant::CustomError { message } => message.clone(),
             };
             let rest = text[offset..].lines().next().unwrap_or_default();
@@ -149,9 +151,9 @@
     findings.finish(statements)
 }
 
-/// The grammar's rules in the operators' words.
-fn describe(rules: &[Rule]) -> String {
-    let mut words: Vec<&str> = rules.iter().map(|rule| rule_words(*rule)).collect();
+/// Describes what the parser expected, in terms that operators know.
+fn describe_rules(rules: &[Rule]) -> String {
+    let mut words: Vec<&str> = rules.iter().map(|rule| describe_rule(*rule)).collect();
     words.sort_unstable();
     words.dedup();
     if words.is_empty() {
@@ -160,7 +162,7 @@
     words.join(", ")
 }
 
-fn rule_words(rule: Rule) -> &'static str {
+fn describe_rule(rule: Rule) -> &'static str {
     match rule {
         Rule::script | Rule::statement => {
             "a statement (create, delete, attach, activate, drain, detach, shift or show)"
@@ -204,9 +206,9 @@
     }
 }
 
-fn read(findings: &mut Collector<'_>, pair: Pair<'_, Rule>) -> Option<StatementKind> {
+fn read_statement(findings: &mut Collector<'_>, pair: Pair<'_, Rule>) -> Option<StatementKind> {
     let rule = pair.as_rule();
-    let mut parts = pair.into_inner().filter(|part| !is_plain_word(part.as_rule()));
+    let mut parts = pair.into_inner().filter(|part| !is_keyword(part.as_rule()));
     match rule {
         Rule::create_service => {
             let name = parts.next()?.as_str().to_owned();
@@ -220,7 +222,7 @@
                         transport = ServiceTransport::Udp;
                     }
                     Rule::candidates_option => {
-                        candidates = read_number(findings, value, MOST_CANDIDATES)? as u8;
+                        candidates = read_number(findings, value, MAX_CANDIDATES)? as u8;
                     }
                     _ => {}
                 }
@@ -266,19 +268,25 @@
                 state,
             })
         }
-        Rule::activate => change(parts.next()?, BackendEvent::Activate),
-        Rule::drain => change(parts.next()?, BackendEvent::Drain),
-        Rule::detach => change(parts.next()?, BackendEvent::Detach),
+        Rule::activate => change_backend(parts.next()?, BackendEvent::Activate),
+        Rule::drain => change_backend(parts.next()?, BackendEvent::Drain),
+        Rule::detach => change_backend(parts.next()?, BackendEvent::Detach),
         Rule::shift => {
             let service = parts.next()?.as_str().to_owned();
             let site = if parts.next()?.as_str() == "right" { Site::Right } else { Site::Left };
             let percent = read_percent(findings, parts.next()?)?;
-            let over = parts.next().and_then(|option| option.into_inner().next());
-            let seconds = match over {
+            let over_option = parts.next().and_then(|option| option.into_inner().next());
+            let duration_seconds = match over_option {
                 Some(duration) => read_duration(findings, duration)?,
                 None => 0,
             };
-            Some(StatementKind::Shift { service, site, percent, seconds, starts: 0 })
+            Some(StatementKind::Shift {
+                service,
+                site,
+                percent,
+                duration_seconds,
+                start_seconds: 0,
+            })
         }
         Rule::show => match parts.next()?.as_rule() {
             Rule::show_services => Some(StatementKind::Show(Query::Services)),
@@ -289,8 +297,8 @@
     }
 }
 
-/// Whether a rule is a word between names, which carries nothing to read.
-fn is_plain_word(rule: Rule) -> bool {
+/// Whether a rule matches a fixed keyword, which carries no value.
+fn is_keyword(rule: Rule) -> bool {
     matches!(
         rule,
         Rule::word_service
@@ -302,11 +310,11 @@
     )
 }
 
-fn change(name: Pair<'_, Rule>, event: BackendEvent) -> Option<StatementKind> {
+fn change_backend(name: Pair<'_, Rule>, event: BackendEvent) -> Option<StatementKind> {
     Some(StatementKind::ChangeBackend { name: name.as_str().to_owned(), event })
 }
 
-/// The rule of the option inside `option`, and its value.
+/// The rule of the specific option inside `option`, and the option's value.
 fn option_value(option: Pair<'_, Rule>) -> Option<(Rule, Pair<'_, Rule>)> {
     let inner = option.into_inner().next()?;
     let rule = inner.as_rule();
@@ -317,19 +325,19 @@
     match pair.as_str().parse::<SocketAddrV4>() {
         Ok(address) if address.port() != 0 => Some(address),
         _ => {
-            let problem = format!("`{}` is no address", pair.as_str());
+            let problem = format!("`{}` is not a valid address", pair.as_str());
             findings.add(pair.as_span().start(), problem, "IP:PORT with a port from 1 to 65535");
             None
         }
     }
 }
 
-fn read_number(findings: &mut Collector<'_>, pair: Pair<'_, Rule>, most: u32) -> Option<u32> {
+fn read_number(findings: &mut Collector<'_>, pair: Pair<'_, Rule>, max: u32) -> Option<u32> {
     match pair.as_str().parse::<u32>() {
-        Ok(number) if (1..=most).contains(&number) => Some(number),
+        Ok(number) if (1..=max).contains(&number) => Some(number),
         _ => {
             let problem = format!("`{}` is out of range", pair.as_str());
-            findings.add(pair.as_span().start(), problem, format!("a number from 1 to {most}"));
+            findings.add(pair.as_span().start(), problem, format!("a number from 1 to {max}"));
             None
         }
     }
@@ -345,7 +353,7 @@
     percent
 }
 
-/// A duration in seconds.
+/// Reads a duration and returns it in seconds.
 fn read_duration(findings: &mut Collector<'_>, pair: Pair<'_, Rule>) -> Option<u64> {
     let text = pair.as_str();
     let (digits, unit) = text.split_at(text.len() - 1);
@@ -355,7 +363,7 @@
         _ => 1,
     };
     let seconds = digits.parse::<u64>().ok().and_then(|number| number.checked_mul(factor));
-    let seconds = seconds.filter(|seconds| *seconds <= LONGEST_SHIFT_SECONDS);
+    let seconds = seconds.filter(|seconds| *seconds <= MAX_SHIFT_SECONDS);
     if seconds.is_none() {
         let problem = format!("`{text}` is out of range");
         findings.add(pair.as_span().start(), problem, "a duration of at most 720h");
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,8 +1,10 @@
-//! The operators' configuration, without I/O.
+//! The configuration that operators maintain, without I/O.
 //!
-//! [`Configuration`] is the model; [`parse_script`] reads the operators' language;
-//! [`apply`] edits a configuration; [`Commit`] carries a script into the platform's key-value
-//! store at most once; [`Documents`] is the store's layout and follows its watch events.
+//! - [`Configuration`] is the data model.
+//! - [`parse_script`] parses the operators' command language.
+//! - [`apply`] edits a configuration.
+//! - [`Commit`] commits a script to the platform's key-value store at most once.
+//! - [`Documents`] is the layout in the store and is kept up to date by watch events.
 
 mod commit;
 mod documents;
@@ -17,7 +19,7 @@
     DocumentError, Documents, HEAD_KEY, Head, KEY_PREFIX, outcome_key, service_key,
 };
 pub use edit::{EditError, apply};
-pub use language::{Query, Statement, StatementKind, parse_script, stamp};
+pub use language::{Query, Statement, StatementKind, parse_script, set_start_times};
 pub use lifecycle::{
     BackendEvent, BackendState, ProcessEvent, ProcessState, agent_chart, backend_chart,
     balancer_chart,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,8 @@
-//! Small HTTP/1.1 server and JSON client over `hyper`, for metrics, platform and stand-ins.
+//! Small HTTP/1.1 server and JSON client based on `hyper`, used for metrics, the platform's APIs
+//! and the simulated systems for tests.
 
 mod client;
 mod server;
 
-pub use client::{HttpClient, HttpError, LineStream, Reply};
-pub use server::{Answer, AnswerBody, full_body, json_answer, serve, text_answer};
+pub use client::{HttpClient, HttpError, JsonResponse, LineStream};
+pub use server::{HttpResponse, ResponseBody, full_body, json_response, serve, text_response};
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -25,7 +25,7 @@
     CarriedAgent, CarriedAgentSettings, CarriedBalancer, CarriedBalancerSettings, InputAge,
     NodeRole, ReportOutcome, SegmentFormat,
 };
-use loftdrift_http::{Answer, text_answer};
+use loftdrift_http::{HttpResponse, text_response};
 use std::net::SocketAddrV4;
 use std::path::PathBuf;
 use std::time::Duration;
@@ -261,19 +261,19 @@
     decoder: D,
     commands: mpsc::Sender<Command>,
     is_ready: bool,
-) -> Answer {
+) -> HttpResponse {
     let (head, body) = request.into_parts();
     let Ok(body) = Limited::new(body, MAX_BODY_BYTES).collect().await else {
-        return text_answer(StatusCode::PAYLOAD_TOO_LARGE, "");
+        return text_response(StatusCode::PAYLOAD_TOO_LARGE, "");
     };
     let body = body.to_bytes();
     let method = head.method.as_str();
     match decoder.decode(Request { method, path: head.uri.path(), body: &body }) {
-        RequestKind::Readiness if is_ready => text_answer(StatusCode::OK, ""),
-        RequestKind::Readiness => text_answer(StatusCode::SERVICE_UNAVAILABLE, ""),
+        RequestKind::Readiness if is_ready => text_response(StatusCode::OK, ""),
+        RequestKind::Readiness => text_response(StatusCode::SERVICE_UNAVAILABLE, ""),
         RequestKind::Report(report) => {
             match call(&commands, |reply| Command::BackendReport(report, reply)).await {
-                Some(ReportOutcome::OtherService) => text_answer(StatusCode::CONFLICT, ""),
+                Some(ReportOutcome::OtherService) => text_response(StatusCode::CONFLICT, ""),
                 outcome => acknowledge(outcome.map(|_| ())),
             }
         }
@@ -284,9 +284,9 @@
             log::warn!(reason = reason.as_str(), path = head.uri.path(); "request_malformed");
             // Only counted, so the answer does not wait if the command queue is full.
             let _ = commands.try_send(Command::UnreadableRequest);
-            text_answer(StatusCode::BAD_REQUEST, reason)
+            text_response(StatusCode::BAD_REQUEST, reason)
         }
-        RequestKind::Unknown => text_answer(StatusCode::NOT_FOUND, ""),
+        RequestKind::Unknown => text_response(StatusCode::NOT_FOUND, ""),
     }
 }
 
@@ -304,11 +304,11 @@
 }
 
 /// The HTTP answer to a back end: success if the core has handled the request in time.
-fn acknowledge(reply: Option<()>) -> Answer {
+fn acknowledge(reply: Option<()>) -> HttpResponse {
     if reply.is_none() {
-        return text_answer(StatusCode::SERVICE_UNAVAILABLE, "");
+        return text_response(StatusCode::SERVICE_UNAVAILABLE, "");
     }
-    let mut answer = text_answer(StatusCode::OK, "{}");
+    let mut answer = text_response(StatusCode::OK, "{}");
     let json = hyper::header::HeaderValue::from_static("application/json");
     answer.headers_mut().insert(hyper::header::CONTENT_TYPE, json);
     answer
--- a/crates/settings/src/roles.rs
+++ b/crates/settings/src/roles.rs
@@ -1,4 +1,4 @@
-//! The settings of each kind of process.
+//! The settings of each role a process can have.
 
 use crate::reader::{Overrides, Reader};
 use loftdrift_findings::{Collector, Findings};
@@ -6,29 +6,30 @@
 use std::time::Duration;
 use toml_edit::{ImDocument, Item, Table};
 
-const DEFAULT_FLOW_BUFFER_BYTES: u64 = 16 * 1024;
-const LEAST_FLOW_BUFFER_BYTES: u64 = 2_048;
-/// A configuration is in force everywhere within 18 s; the grace must be longer.
+const DEFAULT_BUFFER_BYTES: u64 = 16 * 1024;
+const MIN_BUFFER_BYTES: u64 = 2_048;
+/// Must be longer than the 18 s within which all nodes adopt a new configuration. Otherwise agents
+/// would reset flows only because some nodes still use an older configuration.
 const DEFAULT_UNKNOWN_GRACE_SECONDS: f64 = 20.0;
 const DEFAULT_UDP_IDLE_SECONDS: f64 = 30.0;
 const DEFAULT_RAMP_SECONDS: f64 = 10.0;
 const DEFAULT_BALANCER_DRAIN_SECONDS: f64 = 2.0;
 const DEFAULT_AGENT_DRAIN_SECONDS: f64 = 3_600.0;
 
-/// A kind of process.
+/// The role of a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// `loftdrift balancer`
     Balancer,
     /// `loftdrift agent`
     Agent,
-    /// `loftdrift-standin fabric`
+    /// `loftdrift-standin fabric`: sends the packets of callers to balancers in tests and demos.
     Fabric,
-    /// `loftdrift-standin platform`
+    /// `loftdrift-standin platform`: key-value store and machine list.
     Platform,
-    /// `loftdrift-standin backend`
+    /// `loftdrift-standin backend`: HTTP server of one back end.
     Backend,
-    /// `loftdrift-standin callers`
+    /// `loftdrift-standin callers`: HTTP clients that check every answer.
     Callers,
 }
 
@@ -42,7 +43,7 @@
         (Role::Callers, "callers"),
     ];
 
-    /// The role's name in files and on the command line.
+    /// The role's name in settings files and on the command line.
     pub fn name(self) -> &'static str {
         Self::ALL.iter().find(|(role, _)| *role == self).map_or("", |(_, name)| name)
     }
@@ -54,47 +55,47 @@
 
 /// Settings of a balancer process.
 #[derive(Clone, Debug)]
-pub struct BalancerProcess {
-    /// UDP address for GENEVE.
+pub struct BalancerProcessSettings {
+    /// UDP address on which GENEVE packets are received.
     pub listen: SocketAddrV4,
-    /// Key-value store.
+    /// Address of the key-value store.
     pub platform: SocketAddrV4,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served, if any.
     pub metrics: Option<SocketAddrV4>,
-    /// Zone that it stands in.
+    /// Zone in which the process runs.
     pub zone: Option<String>,
-    /// How long it forwards after it has stopped answering the fabric.
-    pub drain: Duration,
-    /// Most probes to agents in one second.
+    /// How long it goes on forwarding packets after it stopped answering the fabric's echoes.
+    pub drain_duration: Duration,
+    /// Maximum number of probes to agents per second.
     pub probes_per_second: u32,
 }
 
 /// Settings of an agent process.
 #[derive(Clone, Debug)]
-pub struct AgentProcess {
-    /// UDP address for GENEVE.
+pub struct AgentProcessSettings {
+    /// UDP address on which GENEVE packets are received.
     pub listen: SocketAddrV4,
-    /// Name of the back end beside it.
+    /// Name of the back end that the agent serves.
     pub backend: String,
-    /// UDP address of the fabric.
+    /// UDP address of the fabric, to which packets for callers are sent.
     pub fabric: SocketAddrV4,
-    /// Key-value store.
+    /// Address of the key-value store.
     pub platform: SocketAddrV4,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served, if any.
     pub metrics: Option<SocketAddrV4>,
-    /// Zone that it stands in.
+    /// Zone in which the process runs.
     pub zone: Option<String>,
-    /// Longest wait for its flows to end after a request to stop.
-    pub drain: Duration,
-    /// Size of each of a flow's two buffers, in bytes.
+    /// How long it waits for its flows to end after a request to stop.
+    pub drain_timeout: Duration,
+    /// Size of each of the two buffers of a TCP flow, in bytes.
     pub flow_buffer_bytes: usize,
-    /// Whether flows carry cookies in TCP timestamps.
+    /// Whether TCP timestamps carry a cookie that identifies the back end.
     pub cookies: bool,
-    /// How long a flow stays unknown before it is reset.
+    /// How long a flow must be unknown to the agents before its packets are answered with a reset.
     pub unknown_grace: Duration,
-    /// A UDP flow without packets for so long is over.
+    /// A UDP flow ends after this time without packets.
     pub udp_idle: Duration,
-    /// A back end that has come up works up to its full share for so long.
+    /// Slow start: a back end that came up reaches its full share of new flows after this time.
     pub ramp: Duration,
 }
 
@@ -107,12 +108,12 @@
     Udp,
 }
 
-/// A port on which the fabric stand-in takes callers.
+/// An address on which the fabric stand-in accepts callers of one service.
 #[derive(Clone, Debug)]
 pub struct FabricListener {
-    /// The port.
+    /// The address to which callers connect.
     pub listen: SocketAddrV4,
-    /// The service's address in packets.
+    /// The service's address, as used in packets.
     pub service: SocketAddrV4,
     /// TCP or UDP.
     pub transport: ListenerTransport,
@@ -120,73 +121,73 @@
 
 /// Settings of the fabric stand-in.
 #[derive(Clone, Debug)]
-pub struct FabricProcess {
-    /// UDP address for GENEVE.
+pub struct FabricProcessSettings {
+    /// UDP address on which GENEVE packets are received.
     pub listen: SocketAddrV4,
-    /// Balancers known from the start.
+    /// Balancers that are known from the start.
     pub balancers: Vec<SocketAddrV4>,
-    /// Machine list, if it is to be read.
+    /// Address of the platform's machine list, if it is to be read.
     pub platform: Option<SocketAddrV4>,
-    /// Ports for callers.
+    /// Addresses on which callers are accepted.
     pub listeners: Vec<FabricListener>,
-    /// Whether flows offer TCP timestamps.
+    /// Whether TCP flows offer the timestamps option.
     pub timestamps: bool,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
 /// Settings of the platform stand-in.
 #[derive(Clone, Debug)]
-pub struct PlatformProcess {
-    /// HTTP address.
+pub struct PlatformProcessSettings {
+    /// Address on which HTTP is served.
     pub listen: SocketAddrV4,
-    /// Most requests a second, 0 for no limit.
+    /// Maximum number of requests per second; 0 for no limit.
     pub requests_per_second: u64,
-    /// How late changes of the machine list show.
+    /// Delay after which changes of the machine list become visible.
     pub machine_lag: Duration,
 }
 
 /// Settings of a back end stand-in.
 #[derive(Clone, Debug)]
-pub struct BackendProcess {
-    /// HTTP address.
+pub struct BackendProcessSettings {
+    /// Address on which HTTP is served.
     pub listen: SocketAddrV4,
     /// The service's name.
     pub service: String,
     /// The back end's name.
     pub name: String,
-    /// Requests at a time.
+    /// Maximum number of requests processed concurrently.
     pub slots: usize,
-    /// Requests that may wait.
-    pub queue: u64,
-    /// Time a request takes.
-    pub work: Duration,
-    /// Time from the start during which work takes longer.
+    /// Maximum number of requests that wait for a slot.
+    pub max_queued: u64,
+    /// Processing time of a request.
+    pub work_duration: Duration,
+    /// Time after the start during which requests take longer.
     pub cold_start: Duration,
-    /// Lag of the load page.
+    /// Age of the load that the load page reports.
     pub load_lag: Duration,
 }
 
 /// Settings of the callers stand-in.
 #[derive(Clone, Debug)]
-pub struct CallersProcess {
-    /// The service's name, which answers must bear.
+pub struct CallersProcessSettings {
+    /// The service's name, which every answer must contain.
     pub service: String,
-    /// Where the fabric listens for the service.
+    /// Address on which the fabric accepts callers of the service.
     pub address: SocketAddrV4,
-    /// How many callers there are.
+    /// Number of concurrent callers.
     pub callers: u64,
-    /// How long they call.
-    pub seconds: Duration,
-    /// Share of requests that submit.
+    /// How long the callers send requests.
+    pub duration: Duration,
+    /// Share of requests that are submissions (POST) rather than fetches (GET), from 0 to 1.
     pub submit_share: f64,
-    /// Largest fetched body, in bytes.
+    /// Maximum size of a fetched body, in bytes.
     pub body_bytes: u64,
-    /// Pause between a flow's requests.
+    /// Pause between two requests of a flow.
     pub pause: Duration,
-    /// Most requests on one flow.
+    /// Maximum number of requests per flow.
     pub requests_per_flow: u64,
-    /// Seed of every random choice.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
@@ -194,26 +195,26 @@
 #[derive(Clone, Debug)]
 pub enum Settings {
     /// Of a balancer.
-    Balancer(BalancerProcess),
+    Balancer(BalancerProcessSettings),
     /// Of an agent.
-    Agent(AgentProcess),
+    Agent(AgentProcessSettings),
     /// Of the fabric stand-in.
-    Fabric(FabricProcess),
+    Fabric(FabricProcessSettings),
     /// Of the platform stand-in.
-    Platform(PlatformProcess),
+    Platform(PlatformProcessSettings),
     /// Of a back end stand-in.
-    Backend(BackendProcess),
+    Backend(BackendProcessSettings),
     /// Of the callers stand-in.
-    Callers(CallersProcess),
+    Callers(CallersProcessSettings),
 }
 
 impl Settings {
-    /// Reads a settings file. `wanted` is the role that the command line asks for; without it the
-    /// file's own decides.
+    /// Parses the text of a settings file. Findings refer to it as `file`. `requested` is the role
+    /// given on the command line; without it, the file's `role` decides.
     pub fn read(
         file: &str,
         text: &str,
-        wanted: Option<Role>,
+        requested: Option<Role>,
         overrides: &Overrides,
     ) -> Result<Settings, Findings> {
         let mut findings = Collector::new(file, text);
@@ -222,43 +223,43 @@
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
                 findings.add(offset, error.message().trim().to_owned(), "a TOML document");
-                return findings.finish(None).map(unreachable_settings);
+                return findings.finish(None).map(expect_settings);
             }
         };
         let table = document.as_table();
-        let settings = read_role(&mut findings, table, wanted)
+        let settings = read_role(&mut findings, table, requested)
             .and_then(|role| read_settings(&mut findings, table, role, overrides));
-        findings.finish(settings).map(unreachable_settings)
+        findings.finish(settings).map(expect_settings)
     }
 }
 
-/// Settings are missing only when there are findings, and then this is not reached.
-fn unreachable_settings(settings: Option<Settings>) -> Settings {
+/// Unwraps settings that were read without findings. Missing settings always cause a finding.
+fn expect_settings(settings: Option<Settings>) -> Settings {
     settings.expect("a reader that returns nothing has recorded a finding")
 }
 
-fn read_role(findings: &mut Collector<'_>, table: &Table, wanted: Option<Role>) -> Option<Role> {
+fn read_role(findings: &mut Collector<'_>, table: &Table, requested: Option<Role>) -> Option<Role> {
     let names: Vec<&str> = Role::ALL.iter().map(|(_, name)| *name).collect();
     let Some(item) = table.get("role") else {
-        if wanted.is_none() {
+        if requested.is_none() {
             findings.add(0, "setting `role` is missing", names.join(", "));
         }
-        return wanted;
+        return requested;
     };
     let offset = item.span().map_or(0, |span| span.start);
     let role = item.as_str().and_then(Role::parse);
-    match (role, wanted) {
+    match (role, requested) {
         (None, _) => {
             let shown = item.as_str().unwrap_or("no text");
             findings.add(offset, format!("unknown role `{shown}`"), names.join(", "));
         }
-        (Some(role), Some(wanted)) if role != wanted => {
-            let problem = format!("these are settings of a {}", role.name());
-            findings.add(offset, problem, format!("role = \"{}\"", wanted.name()));
+        (Some(role), Some(requested)) if role != requested => {
+            let problem = format!("these settings are for role `{}`", role.name());
+            findings.add(offset, problem, format!("role = \"{}\"", requested.name()));
         }
         _ => {}
     }
-    wanted.or(role)
+    requested.or(role)
 }
 
 fn read_settings(
@@ -268,7 +269,7 @@
     overrides: &Overrides,
 ) -> Option<Settings> {
     let mut reader = Reader::new(findings, table, overrides);
-    // The role was read before; here it only counts as known.
+    // `role` was checked before; reading it marks it as known, so that it is not reported.
     let _ = table.get("role").and_then(Item::as_str).map(|_| reader.optional_text("role"));
     let settings = match role {
         Role::Balancer => read_balancer(&mut reader).map(Settings::Balancer),
@@ -282,47 +283,46 @@
     settings
 }
 
-// Each reader below asks for every setting before the first `?`, so that all findings are made.
+// Each function below reads all settings before its first `?`, so that all findings are collected.
 
-fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerProcess> {
+fn read_balancer(reader: &mut Reader<'_, '_>) -> Option<BalancerProcessSettings> {
     let listen = reader.listener("listen");
     let metrics = reader.optional_listener("metrics");
     let platform = reader.address("platform");
     let zone = reader.zone();
-    let drain = reader.seconds("drain_seconds", DEFAULT_BALANCER_DRAIN_SECONDS);
+    let drain_duration = reader.seconds("drain_seconds", DEFAULT_BALANCER_DRAIN_SECONDS);
     let probes_per_second = reader.count("probes_per_second", 1, 40);
-    Some(BalancerProcess {
+    Some(BalancerProcessSettings {
         listen: listen?,
         platform: platform?,
         metrics,
         zone,
-        drain: drain?,
+        drain_duration: drain_duration?,
         probes_per_second: u32::try_from(probes_per_second?).unwrap_or(u32::MAX),
     })
 }
 
-fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentProcess> {
+fn read_agent(reader: &mut Reader<'_, '_>) -> Option<AgentProcessSettings> {
     let listen = reader.listener("listen");
     let metrics = reader.optional_listener("metrics");
     let backend = reader.text("backend");
     let fabric = reader.address("fabric");
     let platform = reader.address("platform");
     let zone = reader.zone();
-    let drain = reader.seconds("drain_seconds", DEFAULT_AGENT_DRAIN_SECONDS);
-    let buffer =
-        reader.count("flow_buffer_bytes", LEAST_FLOW_BUFFER_BYTES, DEFAULT_FLOW_BUFFER_BYTES);
+    let drain_timeout = reader.seconds("drain_seconds", DEFAULT_AGENT_DRAIN_SECONDS);
+    let buffer = reader.count("flow_buffer_bytes", MIN_BUFFER_BYTES, DEFAULT_BUFFER_BYTES);
     let cookies = reader.switch("cookies", true);
     let unknown_grace = reader.seconds("unknown_grace_seconds", DEFAULT_UNKNOWN_GRACE_SECONDS);
     let udp_idle = reader.seconds("udp_idle_seconds", DEFAULT_UDP_IDLE_SECONDS);
     let ramp = reader.seconds("ramp_seconds", DEFAULT_RAMP_SECONDS);
-    Some(AgentProcess {
+    Some(AgentProcessSettings {
         listen: listen?,
         backend: backend?,
         fabric: fabric?,
         platform: platform?,
         metrics,
         zone,
-        drain: drain?,
+        drain_timeout: drain_timeout?,
         flow_buffer_bytes: buffer? as usize,
         cookies: cookies?,
         unknown_grace: unknown_grace?,
@@ -331,25 +331,25 @@
     })
 }
 
-fn read_fabric(reader: &mut Reader<'_, '_>) -> Option<FabricProcess> {
+fn read_fabric(reader: &mut Reader<'_, '_>) -> Option<FabricProcessSettings> {
     let listen = reader.listener("listen");
     let balancers = reader.addresses("balancers");
     let platform = reader.optional_address("platform");
     let timestamps = reader.switch("timestamps", true);
     let seed = reader.count("seed", 0, 0);
-    let none = Overrides::default();
+    let no_overrides = Overrides::default();
     let mut listeners = Vec::new();
     for table in reader.tables("listeners") {
-        let mut inner = reader.inner(table, &none);
+        let mut inner = reader.inner(table, &no_overrides);
         let listener = read_fabric_listener(&mut inner);
         inner.finish();
         if let Some(listener) = listener {
             let span = table.get("listen").and_then(Item::span);
-            reader.claim("listeners.listen", listener.listen, span.map_or(0, |span| span.start));
+            reader.reserve("listeners.listen", listener.listen, span.map_or(0, |span| span.start));
             listeners.push(listener);
         }
     }
-    Some(FabricProcess {
+    Some(FabricProcessSettings {
         listen: listen?,
         balancers,
         platform,
@@ -373,53 +373,53 @@
     Some(FabricListener { listen: listen?, service: service?, transport: transport? })
 }
 
-fn read_platform(reader: &mut Reader<'_, '_>) -> Option<PlatformProcess> {
+fn read_platform(reader: &mut Reader<'_, '_>) -> Option<PlatformProcessSettings> {
     let listen = reader.listener("listen");
     let requests_per_second = reader.count("requests_per_second", 0, 0);
     let machine_lag = reader.seconds("machine_lag_seconds", 1.0);
-    Some(PlatformProcess {
+    Some(PlatformProcessSettings {
         listen: listen?,
         requests_per_second: requests_per_second?,
         machine_lag: machine_lag?,
     })
 }
 
-fn read_backend(reader: &mut Reader<'_, '_>) -> Option<BackendProcess> {
+fn read_backend(reader: &mut Reader<'_, '_>) -> Option<BackendProcessSettings> {
     let listen = reader.listener("listen");
     let service = reader.text("service");
     let name = reader.text("name");
     let slots = reader.count("slots", 1, 7);
-    let queue = reader.count("queue", 0, 64);
-    let work = reader.seconds("work_seconds", 0.005);
+    let max_queued = reader.count("queue", 0, 64);
+    let work_duration = reader.seconds("work_seconds", 0.005);
     let cold_start = reader.seconds("cold_start_seconds", 0.0);
     let load_lag = reader.seconds("load_lag_seconds", 1.0);
-    Some(BackendProcess {
+    Some(BackendProcessSettings {
         listen: listen?,
         service: service?,
         name: name?,
         slots: slots? as usize,
-        queue: queue?,
-        work: work?,
+        max_queued: max_queued?,
+        work_duration: work_duration?,
         cold_start: cold_start?,
         load_lag: load_lag?,
     })
 }
 
-fn read_callers(reader: &mut Reader<'_, '_>) -> Option<CallersProcess> {
+fn read_callers(reader: &mut Reader<'_, '_>) -> Option<CallersProcessSettings> {
     let service = reader.text("service");
     let address = reader.address("address");
     let callers = reader.count("callers", 1, 8);
-    let seconds = reader.seconds("seconds", 10.0);
+    let duration = reader.seconds("seconds", 10.0);
     let submit_share = reader.number("submit_share", 0.0, 1.0, 0.2);
     let body_bytes = reader.count("body_bytes", 1, 50_000);
     let pause = reader.seconds("pause_seconds", 0.02);
     let requests_per_flow = reader.count("requests_per_flow", 1, 200);
     let seed = reader.count("seed", 0, 0);
-    Some(CallersProcess {
+    Some(CallersProcessSettings {
         service: service?,
         address: address?,
         callers: callers?,
-        seconds: seconds?,
+        duration: duration?,
         submit_share: submit_share?,
         body_bytes: body_bytes?,
         pause: pause?,
--- a/crates/standin/src/content.rs
+++ b/crates/standin/src/content.rs
@@ -1,23 +1,24 @@
-//! Answer bodies that both sides can compute: the same seed and size give the same bytes.
+//! Reproducible response bodies: back ends and callers compute the same bytes from the same seed
+//! and size.
 
 use bytes::Bytes;
 use rand::{RngCore, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Most bytes in one chunk.
+/// Maximum size of a chunk.
 pub const CHUNK_BYTES: usize = 16 * 1024;
 
-/// The chunks of a body.
+/// Generates the chunks of a body.
 #[derive(Debug)]
 pub struct Content {
-    random: ChaCha8Rng,
-    left: u64,
+    rng: ChaCha8Rng,
+    remaining_bytes: u64,
 }
 
 impl Content {
-    /// The body of `size` bytes that belongs to `seed`.
+    /// Generates the body of `size` bytes for `seed`.
     pub fn new(seed: u64, size: u64) -> Self {
-        Content { random: ChaCha8Rng::seed_from_u64(seed), left: size }
+        Content { rng: ChaCha8Rng::seed_from_u64(seed), remaining_bytes: size }
     }
 }
 
@@ -25,19 +26,19 @@
     type Item = Bytes;
 
     fn next(&mut self) -> Option<Bytes> {
-        if self.left == 0 {
+        if self.remaining_bytes == 0 {
             return None;
         }
-        let length = self.left.min(CHUNK_BYTES as u64);
+        let length = self.remaining_bytes.min(CHUNK_BYTES as u64);
         let mut chunk = vec![0; CHUNK_BYTES];
-        self.random.fill_bytes(&mut chunk);
+        self.rng.fill_bytes(&mut chunk);
         chunk.truncate(length as usize);
-        self.left -= length;
+        self.remaining_bytes -= length;
         Some(Bytes::from(chunk))
     }
 }
 
-/// Compares a body that arrives piece by piece with the one that was asked for.
+/// Compares a body, received in chunks of any size, with the expected one.
 #[derive(Debug)]
 pub struct ContentCheck {
     content: Content,
@@ -46,25 +47,25 @@
 }
 
 impl ContentCheck {
-    /// Expects the body of `size` bytes that belongs to `seed`.
+    /// Expects the body of `size` bytes for `seed`.
     pub fn new(seed: u64, size: u64) -> Self {
         ContentCheck { content: Content::new(seed, size), expected: Bytes::new(), matches: true }
     }
 
-    /// Takes the next piece.
-    pub fn take(&mut self, mut piece: Bytes) {
-        while !piece.is_empty() && self.matches {
+    /// Checks the next received chunk.
+    pub fn push(&mut self, mut chunk: Bytes) {
+        while !chunk.is_empty() && self.matches {
             if self.expected.is_empty() {
                 self.expected = self.content.next().unwrap_or_default();
             }
-            let length = piece.len().min(self.expected.len());
-            let same = length > 0 && piece.split_to(length) == self.expected.split_to(length);
+            let length = chunk.len().min(self.expected.len());
+            let same = length > 0 && chunk.split_to(length) == self.expected.split_to(length);
             self.matches &= same;
         }
     }
 
-    /// Whether all of the body has arrived, and nothing else.
-    pub fn is_whole(mut self) -> bool {
+    /// Whether exactly the expected body was received.
+    pub fn is_complete(mut self) -> bool {
         self.matches && self.expected.is_empty() && self.content.next().is_none()
     }
 }
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,4 +1,5 @@
-//! TCP connections that can go silent for good, without a reset, while new ones work.
+//! A TCP relay whose open connections can be made to stop carrying data without being closed, while
+//! new connections work.
 
 use anyhow::Result;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -8,44 +9,49 @@
 
 const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// Carries connections to a server.
+/// Relays TCP connections to a server.
 #[derive(Clone, Debug)]
 pub struct Relay {
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub address: SocketAddr,
-    /// Counts the times that all open connections went silent.
-    silences: watch::Sender<u64>,
+    /// Number of calls of [`Relay::blackhole_connections`]. A change affects all connections that
+    /// are open at that time.
+    blackhole_count: watch::Sender<u64>,
 }
 
 impl Relay {
-    /// A relay to a server, on a port of its own.
+    /// Starts a relay to `server` on a loopback port that the kernel assigns.
     pub async fn start(server: SocketAddr) -> Result<Self> {
         let listener = TcpListener::bind(ANY_PORT).await?;
         let address = listener.local_addr()?;
-        let silences = watch::channel(0).0;
-        let relay = Relay { address, silences: silences.clone() };
+        let blackhole_count = watch::channel(0).0;
+        let relay = Relay { address, blackhole_count: blackhole_count.clone() };
         tokio::spawn(async move {
             loop {
-                let Ok((near, _)) = listener.accept().await else { return };
-                tokio::spawn(carry(near, server, silences.subscribe()));
+                let Ok((client, _)) = listener.accept().await else { return };
+                tokio::spawn(forward(client, server, blackhole_count.subscribe()));
             }
         });
         Ok(relay)
     }
 
-    /// Connections that are open now carry nothing any more.
-    pub fn silence(&self) {
-        self.silences.send_modify(|count| *count += 1);
+    /// Makes all open connections stop carrying data, for good. They stay open.
+    pub fn blackhole_connections(&self) {
+        self.blackhole_count.send_modify(|count| *count += 1);
     }
 }
 
-async fn carry(mut near: TcpStream, server: SocketAddr, mut silences: watch::Receiver<u64>) {
-    let Ok(mut far) = TcpStream::connect(server).await else { return };
-    let _ = near.set_nodelay(true);
-    let _ = far.set_nodelay(true);
+async fn forward(
+    mut client: TcpStream,
+    server: SocketAddr,
+    mut blackhole_count: watch::Receiver<u64>,
+) {
+    let Ok(mut upstream) = TcpStream::connect(server).await else { return };
+    let _ = client.set_nodelay(true);
+    let _ = upstream.set_nodelay(true);
     tokio::select! {
-        _ = copy_bidirectional(&mut near, &mut far) => {}
-        // Both ends stay open.
-        _ = silences.changed() => std::future::pending().await,
+        _ = copy_bidirectional(&mut client, &mut upstream) => {}
+        // Neither socket is dropped, so both ends stay open.
+        _ = blackhole_count.changed() => std::future::pending().await,
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,12 @@
 //! Packet formats on the data path, without I/O.
 //!
-//! A packet travels as a whole IPv4 packet inside GENEVE (RFC 8926) over UDP. Between balancers and
-//! agents the GENEVE header also carries the [`SteeringOption`]: the ordered, short list of agents
-//! that may hold the packet's flow. All decoders take untrusted bytes, return typed errors and
-//! never panic.
+//! Each packet is carried as a complete IPv4 packet inside GENEVE (RFC 8926) over UDP. Between
+//! balancers and agents the GENEVE header also carries the [`SteeringOption`]: a short, ordered
+//! list of the agents that may own the packet's flow. All decoders accept untrusted bytes, return
+//! typed errors and never panic.
+//!
+//! The fabric is the network between callers and balancers: it spreads the callers' packets over
+//! the balancers and takes packets back to the callers.
 
 mod cookie;
 mod flow_hash;
@@ -19,6 +22,6 @@
 };
 pub use inner::{FlowKey, InnerError, InnerPacket, SegmentKind, Transport, parse_inner, reset_for};
 pub use steering_option::{
-    BackendId, Candidate, CandidateList, MAX_CANDIDATES, MAX_OPTION_BYTES, MAX_PAGES, OptionError,
-    ServiceId, SteeringMode, SteeringOption, TourBest,
+    BackendId, Candidate, CandidateList, LeastLoaded, MAX_CANDIDATES, MAX_OPTION_BYTES, MAX_PAGES,
+    OptionError, ServiceId, SteeringMode, SteeringOption,
 };
--- a/crates/wire/tests/formats.rs
+++ b/crates/wire/tests/formats.rs
@@ -1,10 +1,10 @@
-//! Packets that are written read back alike; others are refused without panic.
+//! Encoded packets decode to the same values; arbitrary and damaged bytes never cause a panic.
 
 use arbtest::arbitrary::{self, Unstructured};
 use loftdrift_testkit::check_fixed_seeds;
 use loftdrift_wire::{
-    BackendId, Candidate, CandidateList, Echo, EchoKind, FlowCookie, GenevePacket, MAX_PAGES,
-    MAX_VNI, ServiceId, SteeringMode, SteeringOption, TourBest, encode_packet, parse_inner,
+    BackendId, Candidate, CandidateList, Echo, EchoKind, FlowCookie, GenevePacket, LeastLoaded,
+    MAX_PAGES, MAX_VNI, ServiceId, SteeringMode, SteeringOption, encode_packet, parse_inner,
 };
 use std::net::SocketAddrV4;
 
@@ -16,28 +16,28 @@
         candidates.push(Candidate { backend: BackendId(input.arbitrary()?), agent });
     }
     let last = candidates.as_slice().len() as u8 - 1;
-    let modes = [SteeringMode::Locate, SteeringMode::Tour, SteeringMode::Place];
-    let best = TourBest { index: input.int_in_range(0..=last)?, load: input.arbitrary()? };
+    let modes = [SteeringMode::Locate, SteeringMode::Select, SteeringMode::Open];
+    let best = LeastLoaded { index: input.int_in_range(0..=last)?, load: input.arbitrary()? };
     Ok(SteeringOption {
         mode: *input.choose(&modes)?,
         cursor: input.int_in_range(0..=last)?,
         hops_left: input.arbitrary()?,
         page: input.int_in_range(0..=MAX_PAGES)?,
-        eligible: input.int_in_range(0..=last + 1)?,
-        best: input.arbitrary::<bool>()?.then_some(best),
+        eligible_count: input.int_in_range(0..=last + 1)?,
+        least_loaded: input.arbitrary::<bool>()?.then_some(best),
         epoch: input.arbitrary()?,
         candidates,
     })
 }
 
 #[test]
-fn a_packet_reads_back_as_it_was_written() {
+fn a_packet_decodes_to_what_was_encoded() {
     check_fixed_seeds(|input| {
         let option = any_option(input)?;
         let vni = input.int_in_range(0..=MAX_VNI)?;
         let inner: Vec<u8> = input.arbitrary()?;
         let datagram = encode_packet(vni, Some(&option), &inner);
-        let packet = GenevePacket::parse(&datagram).expect("a packet");
+        let packet = GenevePacket::parse(&datagram).expect("valid packet");
         assert_eq!((packet.vni, packet.steering, packet.control), (vni, Some(option), false));
         assert_eq!(packet.inner, inner);
         Ok(())
@@ -60,22 +60,22 @@
 fn a_damaged_option_is_refused_or_keeps_its_indices_in_the_list() {
     check_fixed_seeds(|input| {
         let mut datagram = encode_packet(1, Some(&any_option(input)?), &[]);
-        let place = input.int_in_range(8..=datagram.len() - 1)?;
-        datagram[place] = input.arbitrary()?;
+        let offset = input.int_in_range(8..=datagram.len() - 1)?;
+        datagram[offset] = input.arbitrary()?;
         if let Ok(GenevePacket { steering: Some(option), .. }) = GenevePacket::parse(&datagram) {
             assert!(option.current().is_some());
             let length = option.candidates.as_slice().len();
-            assert!(option.best.is_none_or(|best| usize::from(best.index) < length));
+            assert!(option.least_loaded.is_none_or(|best| usize::from(best.index) < length));
         }
         Ok(())
     });
 }
 
 #[test]
-fn an_echo_reads_back_as_it_was_written() {
+fn an_echo_decodes_to_what_was_encoded() {
     let echo = Echo { kind: EchoKind::Reply, sequence: 77 };
     let datagram = echo.encode();
-    let packet = GenevePacket::parse(&datagram).expect("a packet");
+    let packet = GenevePacket::parse(&datagram).expect("valid packet");
     assert_eq!(Echo::decode(&packet), Some(echo));
 }
 
