--- a/crates/lab/src/bin/loftdrift-lab.rs
+++ b/crates/lab/src/bin/loftdrift-lab.rs
@@ -4,7 +4,8 @@
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use loftdrift_lab::{
     CarriedWorld, CarriedWorldSettings, Comparison, DayProfile, Plan, Policy, Report, Scenario,
-    Trace, compare, explore, random_day_with_evacuations, run, shrink, write_day_plot, write_plots,
+    Trace, compare, explore, random_faults_with_evacuations, run, shrink, write_day_plot,
+    write_plots,
 };
 use pico_args::Arguments;
 use std::io::IsTerminal;
@@ -89,7 +90,7 @@
     let defaults = CarriedWorldSettings::default();
     let settings = CarriedWorldSettings {
         balancers: arguments.opt_value_from_str("--balancers")?.unwrap_or(defaults.balancers),
-        weak_balancers: arguments.opt_value_from_str("--weak")?.unwrap_or(defaults.weak_balancers),
+        slow_balancers: arguments.opt_value_from_str("--weak")?.unwrap_or(defaults.slow_balancers),
         ..defaults
     };
     if let Some(word) = arguments.finish().first() {
@@ -101,13 +102,13 @@
     let bar = progress(seeds.end.saturating_sub(seeds.start));
     let (mut days, mut asked, mut served) = (0_u64, 0, 0);
     for seed in seeds {
-        let faults = random_day_with_evacuations(seed, settings.balancers, settings.backends);
+        let faults = random_faults_with_evacuations(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(CarriedWorldSettings { seed, ..settings }, &faults).run();
-        if !outcome.keeps_the_rules() {
+        if !outcome.keeps_invariants() {
             println!("seed {seed} breaks a rule: {outcome:?}\n{faults:#?}");
             return Ok(ExitCode::from(EXIT_MISSED));
         }
-        (days, asked, served) = (days + 1, asked + outcome.asked, served + outcome.served);
+        (days, asked, served) = (days + 1, asked + outcome.requests, served + outcome.served);
         bar.inc(1);
     }
     println!("{days} days, none with a rule broken; {served} of {asked} requests served");
--- a/crates/lab/src/carried/fault.rs
+++ b/crates/lab/src/carried/fault.rs
@@ -15,7 +15,7 @@
 
 /// How the store comes back from a copy.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct StoreReturn {
+pub struct StoreRestore {
     /// How old the copy is at the return; everything written since is gone.
     pub copy_age: Duration,
     /// For how long the store is away before.
@@ -50,7 +50,7 @@
     /// The store answers nobody.
     StoreDown(Duration),
     /// The store is away and comes back from an older copy.
-    StoreRestored(StoreReturn),
+    StoreRestored(StoreRestore),
     /// The store refuses every balancer while it serves the operator and the agents.
     RefuseBalancers(Duration),
     /// Waits at the store that are under way hang: their connections have gone silent, new ones work.
--- a/crates/lab/src/carried/mod.rs
+++ b/crates/lab/src/carried/mod.rs
@@ -6,12 +6,13 @@
 mod fault;
 mod outcome;
 mod process;
-mod random_days;
+mod random_faults;
 mod world;
 
-pub use fault::{CarriedFault, FailureMode, StoreReturn, TimedFault};
+pub use fault::{CarriedFault, FailureMode, StoreRestore, TimedFault};
 pub use outcome::CarriedOutcome;
-pub use random_days::{
-    random_day, random_day_with_evacuations, random_day_with_hanging_waits, random_day_with_returns,
+pub use random_faults::{
+    random_faults, random_faults_with_evacuations, random_faults_with_hanging_watches,
+    random_faults_with_restores,
 };
 pub use world::{CarriedWorld, CarriedWorldSettings};
--- a/crates/lab/src/carried/outcome.rs
+++ b/crates/lab/src/carried/outcome.rs
@@ -6,7 +6,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CarriedOutcome {
     /// Requests asked.
-    pub asked: u64,
+    pub requests: u64,
     /// Requests answered whole.
     pub served: u64,
     /// Requests given up after their last try was refused.
@@ -41,9 +41,9 @@
 
 impl CarriedOutcome {
     /// Whether every rule was kept.
-    pub fn keeps_the_rules(&self) -> bool {
+    pub fn keeps_invariants(&self) -> bool {
         let CarriedOutcome {
-            asked,
+            requests,
             served,
             refused,
             failed,
@@ -53,7 +53,7 @@
             slowest_change,
             ..
         } = *self;
-        let kept = CarriedOutcome { asked, served, refused, failed, lost, ..Default::default() };
+        let kept = CarriedOutcome { requests, served, refused, failed, lost, ..Default::default() };
         *self == CarriedOutcome { store_calls, suspicions, slowest_change, ..kept }
     }
 }
--- a/crates/lab/src/carried/random_days.rs
+++ b/crates/lab/src/carried/random_faults.rs
@@ -1,6 +1,6 @@
 //! Days drawn from a seed: few faults each, of every kind, at any moment.
 
-use super::fault::{CarriedFault, FailureMode, StoreReturn, TimedFault};
+use super::fault::{CarriedFault, FailureMode, StoreRestore, TimedFault};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 const MOST_LOSS: f64 = 0.1;
 
 /// The faults of a day.
-pub fn random_day(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
+pub fn random_faults(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let count = random.random_range(1..=MOST_FAULTS);
     let mut day: Vec<TimedFault> = (0..count)
@@ -37,8 +37,12 @@
 }
 
 /// The same day with zones evacuated and taken back, up to three times.
-pub fn random_day_with_evacuations(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
-    let mut day = random_day(seed, balancers, agents);
+pub fn random_faults_with_evacuations(
+    seed: u64,
+    balancers: usize,
+    agents: usize,
+) -> Vec<TimedFault> {
+    let mut day = random_faults(seed, balancers, agents);
     let mut random = ChaCha8Rng::seed_from_u64(!seed);
     for _ in 0..random.random_range(1..=MOST_EVACUATIONS) {
         let zone = random.random_range(0..ZONES);
@@ -53,14 +57,14 @@
 
 /// The same day, with the store coming back from older copies up to three times, and a change before and
 /// after each.
-pub fn random_day_with_returns(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
-    let mut day = random_day(seed, balancers, agents);
+pub fn random_faults_with_restores(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
+    let mut day = random_faults(seed, balancers, agents);
     let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
     for _ in 0..random.random_range(1..=MOST_RETURNS) {
         let at = random.random_range(FIRST_FAULT_MS..LAST_FAULT_MS);
         let mut milliseconds =
             |least, most| Duration::from_millis(random.random_range(least..most));
-        let back = StoreReturn {
+        let back = StoreRestore {
             copy_age: milliseconds(SHORTEST_MS, OLDEST_COPY_MS),
             away: milliseconds(1, LONGEST_ABSENCE_MS),
             operator_after: milliseconds(0, LATEST_OPERATOR_MS),
@@ -77,12 +81,12 @@
 }
 
 /// The same day, with waits at the store that hang up to three times, and a change within the trouble.
-pub fn random_day_with_hanging_waits(
+pub fn random_faults_with_hanging_watches(
     seed: u64,
     balancers: usize,
     agents: usize,
 ) -> Vec<TimedFault> {
-    let mut day = random_day(seed, balancers, agents);
+    let mut day = random_faults(seed, balancers, agents);
     let mut random = ChaCha8Rng::seed_from_u64(!seed.rotate_left(32));
     for _ in 0..random.random_range(1..=MOST_HANGS) {
         let mut milliseconds =
--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -14,8 +14,8 @@
         } else {
             return;
         }
-        self.outcome.asked += 1;
-        let number = self.outcome.asked;
+        self.outcome.requests += 1;
+        let number = self.outcome.requests;
         let address = self.next_address();
         let service = service_address(usize::from(self.random.random_range(0..4) == 0));
         self.by_address.insert(address, number);
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -121,7 +121,7 @@
     }
 
     /// The store is back, from a copy; its operators notice later.
-    pub(super) fn store_returns(&mut self, back: StoreReturn) {
+    pub(super) fn store_returns(&mut self, back: StoreRestore) {
         self.store.come_back(self.now, back.copy_age);
         self.restart_bounds(self.now + back.operator_after);
         self.restored_at = self.now;
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -11,7 +11,7 @@
 use self::store::Store;
 use super::backend::{LEAVES_AFTER, Reaction, SimulatedBackend};
 use super::caller::{Caller, CallerState, CallerStep};
-use super::fault::{CarriedFault, StoreReturn, TimedFault};
+use super::fault::{CarriedFault, StoreRestore, TimedFault};
 use super::outcome::CarriedOutcome;
 use super::process::{Core, Process};
 use crate::queue::EventQueue;
@@ -77,7 +77,7 @@
     /// Seed of everything left to chance.
     pub seed: u64,
     /// Balancers with little processor: the first so many.
-    pub weak_balancers: usize,
+    pub slow_balancers: usize,
     /// Time that such a balancer takes for a datagram or a service of its timers.
     pub weak_cost: Duration,
     /// Which mechanisms are on.
@@ -95,7 +95,7 @@
             long_callers: 4,
             lasts: Duration::from_secs(29),
             seed: 1,
-            weak_balancers: 0,
+            slow_balancers: 0,
             weak_cost: Duration::from_millis(1),
             policies: Policies::default(),
         }
@@ -151,7 +151,7 @@
     },
     Probe,
     LookAtVersions,
-    StoreReturns(StoreReturn),
+    StoreReturns(StoreRestore),
     OperatorsWriteAgain,
     StoreLook {
         node: usize,
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -35,7 +35,7 @@
 impl CarriedWorld {
     /// Whether a node has little processor.
     pub(super) fn is_weak(&self, node: usize) -> bool {
-        node < self.settings.weak_balancers
+        node < self.settings.slow_balancers
     }
 
     /// A message of a node waits in a weak node's socket.
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -31,9 +31,9 @@
 pub use backend::BackendBehaviour;
 pub use caller::CallerBehaviour;
 pub use carried::{
-    CarriedFault, CarriedOutcome, CarriedWorld, CarriedWorldSettings, FailureMode, StoreReturn,
-    TimedFault, random_day, random_day_with_evacuations, random_day_with_hanging_waits,
-    random_day_with_returns,
+    CarriedFault, CarriedOutcome, CarriedWorld, CarriedWorldSettings, FailureMode, StoreRestore,
+    TimedFault, random_faults, random_faults_with_evacuations, random_faults_with_hanging_watches,
+    random_faults_with_restores,
 };
 pub use compare::{Comparison, compare};
 pub use day_profile::DayProfile;
--- a/crates/lab/tests/carried.rs
+++ b/crates/lab/tests/carried.rs
@@ -4,9 +4,10 @@
 mod support;
 
 use loftdrift_lab::{
-    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, FailureMode, TimedFault, random_day,
+    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, FailureMode, TimedFault,
+    random_faults,
 };
-use support::days::{assert_kept, play};
+use support::carried_runs::{assert_kept, play};
 use support::seconds;
 
 const RANDOM_DAYS: u64 = 150;
@@ -21,8 +22,8 @@
 #[test]
 fn a_calm_day_serves_everything() {
     let outcome = play(&[]);
-    assert_eq!(outcome.served, outcome.asked, "{outcome:?}");
-    assert!(outcome.asked > 2_500, "{outcome:?}");
+    assert_eq!(outcome.served, outcome.requests, "{outcome:?}");
+    assert!(outcome.requests > 2_500, "{outcome:?}");
     assert_kept(outcome, 1.0);
 }
 
@@ -123,8 +124,8 @@
                 let fault = Fault::FailBackend(0, mode, seconds(8.0));
                 let fault = TimedFault { at: seconds(4.0), fault };
                 let outcome = CarriedWorld::new(settings, &[fault]).run();
-                assert!(outcome.keeps_the_rules(), "{mode:?}: {outcome:?}");
-                outcome.asked - outcome.served
+                assert!(outcome.keeps_invariants(), "{mode:?}: {outcome:?}");
+                outcome.requests - outcome.served
             })
             .sum();
         assert!(unserved <= 20 * FAILING_DAYS, "{mode:?}: {unserved} of {FAILING_DAYS} days");
@@ -152,7 +153,7 @@
 #[test]
 fn after_a_loss_of_all_power_callers_hear_that_their_flows_are_over() {
     let outcome = play(&[(6.0, Fault::PowerOff(seconds(0.4)))]);
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
     // Those that were under way and are not repeated; a caller that keeps its flow asks again.
     assert!(outcome.lost + outcome.refused <= 40, "{outcome:?}");
 }
@@ -163,7 +164,7 @@
         .map(|agent| (4.0 + agent as f64, Fault::CrashBackend(agent, seconds(2.0))))
         .collect();
     let outcome = play(&day);
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
     assert!(outcome.lost <= 30, "{outcome:?}");
 }
 
@@ -178,7 +179,7 @@
         });
         let faults: Vec<_> = stops.collect();
         let outcome = CarriedWorld::new(settings, &faults).run();
-        assert_eq!(outcome.served, outcome.asked, "{backends}: {outcome:?}");
+        assert_eq!(outcome.served, outcome.requests, "{backends}: {outcome:?}");
         assert_kept(outcome, 1.0);
     }
 }
@@ -215,8 +216,8 @@
 fn play_random_days(seeds: impl IntoIterator<Item = u64>) {
     let settings = CarriedWorldSettings::default();
     for seed in seeds {
-        let faults = random_day(seed, settings.balancers, settings.backends);
+        let faults = random_faults(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(CarriedWorldSettings { seed, ..settings }, &faults).run();
-        assert!(outcome.keeps_the_rules(), "seed {seed}: {outcome:?}\n{faults:#?}");
+        assert!(outcome.keeps_invariants(), "seed {seed}: {outcome:?}\n{faults:#?}");
     }
 }
--- a/crates/lab/tests/dissemination.rs
+++ b/crates/lab/tests/dissemination.rs
@@ -1,7 +1,7 @@
 //! A change of the configuration reaches every node of a fleet.
 
 use loftdrift_lab::{
-    CarriedFault as Fault, CarriedOutcome, CarriedWorld, CarriedWorldSettings, StoreReturn,
+    CarriedFault as Fault, CarriedOutcome, CarriedWorld, CarriedWorldSettings, StoreRestore,
     TimedFault,
 };
 use std::time::Duration;
@@ -41,7 +41,7 @@
 fn a_change_is_everywhere_within_a_second_at_any_size() {
     for (balancers, backends) in [(10, 20), (100, 200)] {
         let outcome = play(balancers, backends, 1);
-        assert!(outcome.keeps_the_rules(), "{balancers} balancers: {outcome:?}");
+        assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
         let took = outcome.slowest_change;
         assert!(took <= EVERYWHERE_WITHIN, "{balancers} balancers, {backends} agents: {took:?}");
     }
@@ -51,7 +51,7 @@
 #[test]
 fn a_change_after_the_store_has_gone_back_is_everywhere_within_a_second_at_any_size() {
     let at = |seconds: f64, fault| TimedFault { at: Duration::from_secs_f64(seconds), fault };
-    let back = StoreReturn {
+    let back = StoreRestore {
         copy_age: Duration::from_millis(1_500),
         away: Duration::from_millis(100),
         operator_after: Duration::from_millis(100),
@@ -60,7 +60,7 @@
         [at(3.0, Fault::MoveRoute), at(4.0, Fault::MoveRoute), at(4.5, Fault::StoreRestored(back))];
     for (balancers, backends) in [(10, 20), (100, 200)] {
         let outcome = play_after(&faults, balancers, backends, 1);
-        assert!(outcome.keeps_the_rules(), "{balancers} balancers: {outcome:?}");
+        assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
         let took = outcome.slowest_change;
         assert!(took <= EVERYWHERE_WITHIN, "{balancers} balancers, {backends} agents: {took:?}");
     }
--- a/crates/lab/tests/evacuations.rs
+++ b/crates/lab/tests/evacuations.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use loftdrift_lab::{
-    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, random_day_with_evacuations,
+    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, random_faults_with_evacuations,
 };
-use support::days::{assert_kept, play, play_with};
+use support::carried_runs::{assert_kept, play, play_with};
 use support::seconds;
 
 /// Both hold half of the first service's back ends; all of the second one's are in zone 0.
@@ -78,7 +78,7 @@
     let mut day = vec![(3.0, Fault::Evacuate(HALF)), (6.0, Fault::EndEvacuation(HALF))];
     day.extend([0, 3, 6].map(|agent| (5.5, Fault::CutAgent(agent, seconds(1.5)))));
     let ended = play_with(settings, &day);
-    assert!(ended.keeps_the_rules(), "{ended:?}");
+    assert!(ended.keeps_invariants(), "{ended:?}");
     let lasting = play_with(settings, &[(3.0, Fault::Evacuate(HALF))]);
     assert!(2 * lasting.refused > 3 * ended.refused, "{lasting:?} {ended:?}");
 }
@@ -88,18 +88,18 @@
     let mut day: Vec<_> = (0..3).map(|zone| (5.0, Fault::Evacuate(zone))).collect();
     day.extend((0..3).map(|zone| (8.0, Fault::EndEvacuation(zone))));
     let outcome = play(&day);
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
-    assert_eq!(outcome.served + outcome.refused, outcome.asked, "{outcome:?}");
-    assert!(outcome.refused * 10 > outcome.asked, "{outcome:?}");
-    assert!(outcome.refused * 4 < outcome.asked, "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
+    assert_eq!(outcome.served + outcome.refused, outcome.requests, "{outcome:?}");
+    assert!(outcome.refused * 10 > outcome.requests, "{outcome:?}");
+    assert!(outcome.refused * 4 < outcome.requests, "{outcome:?}");
 }
 
 #[test]
 fn random_days_keep_the_rules() {
     for seed in 1..=RANDOM_DAYS {
         let settings = CarriedWorldSettings { seed, ..CarriedWorldSettings::default() };
-        let faults = random_day_with_evacuations(seed, settings.balancers, settings.backends);
+        let faults = random_faults_with_evacuations(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(settings, &faults).run();
-        assert!(outcome.keeps_the_rules(), "seed {seed}: {outcome:?}");
+        assert!(outcome.keeps_invariants(), "seed {seed}: {outcome:?}");
     }
 }
--- a/crates/lab/tests/hanging_waits.rs
+++ b/crates/lab/tests/hanging_waits.rs
@@ -4,9 +4,9 @@
 mod support;
 
 use loftdrift_lab::{
-    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, random_day_with_hanging_waits,
+    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, random_faults_with_hanging_watches,
 };
-use support::days::play_with;
+use support::carried_runs::play_with;
 use support::seconds;
 
 const RANDOM_DAYS: u64 = 80;
@@ -21,7 +21,7 @@
         let mut day = vec![(4.0, Fault::HangWaits(seconds(11.5)))];
         day.extend([4.1, 7.9, 12.0].map(|at| (at, Fault::MoveRoute)));
         let outcome = play_with(settings(balancers, 1), &day);
-        assert!(outcome.keeps_the_rules(), "{balancers} balancers: {outcome:?}");
+        assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
     }
 }
 
@@ -38,7 +38,7 @@
         day.push((4.0, Fault::HangWaits(seconds(11.5))));
         day.extend([4.4, 9.0].map(|at| (at, Fault::MoveRoute)));
         let outcome = play_with(settings(4, 1), &day);
-        assert!(outcome.keeps_the_rules(), "{:?}: {outcome:?}", trouble(1));
+        assert!(outcome.keeps_invariants(), "{:?}: {outcome:?}", trouble(1));
     }
 }
 
@@ -46,8 +46,9 @@
 fn random_days_break_no_rule() {
     for seed in 1..=RANDOM_DAYS {
         let settings = settings(2 + seed as usize % 4, seed);
-        let faults = random_day_with_hanging_waits(seed, settings.balancers, settings.backends);
+        let faults =
+            random_faults_with_hanging_watches(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(settings, &faults).run();
-        assert!(outcome.keeps_the_rules(), "seed {seed}: {outcome:?}\n{faults:#?}");
+        assert!(outcome.keeps_invariants(), "seed {seed}: {outcome:?}\n{faults:#?}");
     }
 }
--- a/crates/lab/tests/restored_store.rs
+++ b/crates/lab/tests/restored_store.rs
@@ -4,9 +4,10 @@
 mod support;
 
 use loftdrift_lab::{
-    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, StoreReturn, random_day_with_returns,
+    CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, StoreRestore,
+    random_faults_with_restores,
 };
-use support::days::{assert_kept, play};
+use support::carried_runs::{assert_kept, play};
 use support::seconds;
 
 /// Holds half of the first service's back ends.
@@ -15,7 +16,7 @@
 
 /// A return from a copy so many seconds old, after a short absence.
 fn back(copy_age: f64, operator_after: f64) -> Fault {
-    Fault::StoreRestored(StoreReturn {
+    Fault::StoreRestored(StoreRestore {
         copy_age: seconds(copy_age),
         away: seconds(0.3),
         operator_after: seconds(operator_after),
@@ -72,7 +73,7 @@
         day.push((4.5, fault));
         day.push((5.0, back(2.5, 0.1)));
         let outcome = play(&day);
-        assert!(outcome.keeps_the_rules(), "{fault:?}: {outcome:?}");
+        assert!(outcome.keeps_invariants(), "{fault:?}: {outcome:?}");
     }
 }
 
@@ -107,8 +108,8 @@
 fn random_days_break_no_rule() {
     for seed in 1..=RANDOM_DAYS {
         let settings = CarriedWorldSettings { seed, ..CarriedWorldSettings::default() };
-        let faults = random_day_with_returns(seed, settings.balancers, settings.backends);
+        let faults = random_faults_with_restores(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(settings, &faults).run();
-        assert!(outcome.keeps_the_rules(), "seed {seed}: {outcome:?}\n{faults:#?}");
+        assert!(outcome.keeps_invariants(), "seed {seed}: {outcome:?}\n{faults:#?}");
     }
 }
--- a/crates/lab/tests/starved.rs
+++ b/crates/lab/tests/starved.rs
@@ -3,7 +3,7 @@
 use loftdrift_carried::{Policies, Policy};
 use loftdrift_lab::{
     CarriedFault as Fault, CarriedOutcome, CarriedWorld, CarriedWorldSettings, TimedFault,
-    random_day,
+    random_faults,
 };
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
         balancers,
         backends,
         requests_per_second: REQUESTS * balancers as u64,
-        weak_balancers: WEAK,
+        slow_balancers: WEAK,
         weak_cost: Duration::from_micros(1_300),
         policies,
         ..CarriedWorldSettings::default()
@@ -37,9 +37,9 @@
 fn starved_balancers_suspect_no_living_agent_at_any_size() {
     for size in SIZES {
         let outcome = play(size, Policies::default());
-        assert!(outcome.keeps_the_rules(), "{size:?}: {outcome:?}");
+        assert!(outcome.keeps_invariants(), "{size:?}: {outcome:?}");
         assert_eq!(outcome.suspicions, 0, "{size:?}: {outcome:?}");
-        assert!(outcome.served as f64 / outcome.asked as f64 > 0.93, "{size:?}: {outcome:?}");
+        assert!(outcome.served as f64 / outcome.requests as f64 > 0.93, "{size:?}: {outcome:?}");
     }
 }
 
@@ -57,12 +57,12 @@
 /// Random days with weak balancers that are played each time.
 const RANDOM_DAYS: u64 = 25;
 
-fn play_random((balancers, weak_balancers, seed): (usize, usize, u64)) {
+fn play_random((balancers, slow_balancers, seed): (usize, usize, u64)) {
     let settings =
-        CarriedWorldSettings { balancers, weak_balancers, seed, ..CarriedWorldSettings::default() };
-    let faults = random_day(seed, balancers, settings.backends);
+        CarriedWorldSettings { balancers, slow_balancers, seed, ..CarriedWorldSettings::default() };
+    let faults = random_faults(seed, balancers, settings.backends);
     let outcome = CarriedWorld::new(settings, &faults).run();
-    assert!(outcome.keeps_the_rules(), "seed {seed}: {outcome:?}");
+    assert!(outcome.keeps_invariants(), "seed {seed}: {outcome:?}");
 }
 
 #[test]
--- a/crates/lab/tests/support/days.rs
+++ b/crates/lab/tests/support/carried_runs.rs
@@ -12,7 +12,7 @@
 }
 
 pub fn assert_kept(outcome: CarriedOutcome, least_served: f64) {
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
-    let share = outcome.served as f64 / outcome.asked as f64;
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
+    let share = outcome.served as f64 / outcome.requests as f64;
     assert!(share >= least_served, "{share}: {outcome:?}");
 }
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-pub mod days;
+pub mod carried_runs;
 
 use loftdrift_configuration::{Configuration, apply, parse_script};
 use loftdrift_lab::{BackendBehaviour, CallerBehaviour, World, WorldSettings};
--- a/crates/lab/tests/watchers.rs
+++ b/crates/lab/tests/watchers.rs
@@ -35,25 +35,25 @@
 #[test]
 fn a_change_is_in_force_in_time_though_all_who_wait_are_killed_for_long() {
     let outcome = hit_watchers(|node| Fault::KillBalancer(node, seconds(6.0)));
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_all_who_wait_freeze() {
     let outcome = hit_watchers(|node| Fault::FreezeBalancer(node, seconds(4.0)));
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_all_who_wait_are_cut_off() {
     let outcome = hit_watchers(|node| Fault::CutBalancer(node, seconds(4.0)));
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_the_store_refuses_every_balancer() {
     let outcome = play(24, &[(4.0, Fault::RefuseBalancers(seconds(8.0))), (6.0, Fault::MoveRoute)]);
-    assert!(outcome.keeps_the_rules(), "{outcome:?}");
+    assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
