--- a/crates/bench/benches/agent.rs
+++ b/crates/bench/benches/agent.rs
@@ -2,7 +2,7 @@
 
 use loftdrift_agent::{Agent, Output};
 use loftdrift_bench::{
-    agent_settings, caller_address, configuration, median, nanoseconds_each, service_address,
+    agent_settings, caller_address, configuration, median, nanoseconds_per_item, service_address,
 };
 use loftdrift_flow::{Endpoint, EndpointSettings, FlowId, SocketCommand, SocketEvent, Timestamps};
 use loftdrift_wire::{
@@ -41,7 +41,7 @@
     callers: Vec<Endpoint>,
     now: Duration,
     /// Time spent in the agent.
-    spent: Duration,
+    agent_time: Duration,
 }
 
 impl Bench {
@@ -56,7 +56,7 @@
             address,
             callers: Vec::new(),
             now: Duration::ZERO,
-            spent: Duration::ZERO,
+            agent_time: Duration::ZERO,
         };
         (0..flows).for_each(|flow| bench.open(flow));
         assert_eq!(bench.agent.flow_count() as u64, flows);
@@ -90,13 +90,13 @@
             let datagram = encode_packet(VNI, Some(&option(mode, self.address)), &packet);
             let start = Instant::now();
             self.agent.handle_datagram(self.now, self.address, &datagram);
-            self.spent += start.elapsed();
+            self.agent_time += start.elapsed();
         }
-        self.carry_out(caller);
+        self.handle_outputs(caller);
         self.callers[caller].poll(self.now);
     }
 
-    fn carry_out(&mut self, caller: usize) {
+    fn handle_outputs(&mut self, caller: usize) {
         while let Some(output) = self.agent.take_output() {
             match output {
                 Output::Transmit { datagram, .. } => {
@@ -118,7 +118,7 @@
                 let event = SocketEvent::Written(bytes.len());
                 let start = Instant::now();
                 self.agent.handle_socket(self.now, flow, event);
-                self.spent += start.elapsed();
+                self.agent_time += start.elapsed();
             }
             _ => {}
         }
@@ -128,7 +128,7 @@
     /// in the agent.
     fn run(&mut self, burst: usize) -> Duration {
         let before = self.agent.counters.delivered;
-        self.spent = Duration::ZERO;
+        self.agent_time = Duration::ZERO;
         for packet in 0..PACKETS {
             self.now += Duration::from_micros(20);
             let caller = packet / burst % self.callers.len();
@@ -136,7 +136,7 @@
             self.exchange(caller);
         }
         assert!(self.agent.counters.delivered >= before + PACKETS as u64);
-        self.spent
+        self.agent_time
     }
 }
 
@@ -150,8 +150,8 @@
     println!(
         "agent, packets of 1,000 bytes in bursts of {burst}: {:.0} ns at {MANY_FLOWS} flows, \
          {:.0} ns at {FEW_FLOWS} flows, ratio {:.2}",
-        nanoseconds_each(many_time, PACKETS),
-        nanoseconds_each(few_time, PACKETS),
+        nanoseconds_per_item(many_time, PACKETS),
+        nanoseconds_per_item(few_time, PACKETS),
         many_time.as_secs_f64() / few_time.as_secs_f64(),
     );
 }
--- a/crates/bench/benches/carried.rs
+++ b/crates/bench/benches/carried.rs
@@ -23,7 +23,7 @@
 const PEER_PORT: u16 = 7_720;
 const FIRST_AGENT: u32 = 0x0A02_0001;
 
-fn held() -> isize {
+fn allocated_bytes() -> isize {
     let stats = ALLOCATOR.stats();
     stats.bytes_allocated as isize - stats.bytes_deallocated as isize
 }
@@ -93,10 +93,10 @@
 }
 
 /// Opens a flow: the packet of the caller, the offer, the agent's answer.
-fn open(balancer: &mut CarriedBalancer, now: Duration, flow: u64, service: u32) {
+fn place_flow(balancer: &mut CarriedBalancer, now: Duration, flow: u64, service: u32) {
     let head = Segment::between(caller_address(flow), service_address(service));
-    let opening = PlainFormat::write(&Segment { syn: true, ..head }, &[]);
-    balancer.handle_caller(now, &opening);
+    let syn = PlainFormat::write(&Segment { syn: true, ..head }, &[]);
+    balancer.handle_caller(now, &syn);
     let Some((agent, number)) = drain(balancer) else { return };
     let Message::Heartbeat(heartbeat) = heartbeat(service) else { return };
     let report = heartbeat.report.unwrap_or_default();
@@ -106,7 +106,7 @@
 
 fn measure(services: u32, agents: u32) {
     let region = Region::new(ALLOCATOR);
-    let before = held();
+    let before = allocated_bytes();
     let node = Node {
         address: SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, 1), PEER_PORT),
         role: NodeRole::Balancer,
@@ -123,28 +123,28 @@
     };
     let mut balancer = CarriedBalancer::new(settings, PlainFormat);
     balancer.adopt(Duration::ZERO, configuration(services));
-    let with_routes = held();
+    let with_routes = allocated_bytes();
     let now = Duration::from_millis(10);
     for agent in 0..agents {
         let message = heartbeat(agent % services).encode();
         balancer.handle_peer(now, agent_address(agent), &message);
     }
     drain(&mut balancer);
-    let with_agents = held();
+    let with_agents = allocated_bytes();
     let mut flow = 0;
-    let opening = (0..RUNS).map(|_| {
+    let placement_time = (0..RUNS).map(|_| {
         let mut round = || {
             for _ in 0..FLOWS / RUNS as u64 {
                 flow += 1;
-                open(&mut balancer, now, flow, flow as u32 % services);
+                place_flow(&mut balancer, now, flow, flow as u32 % services);
             }
         };
         time(&mut round)
     });
-    let opening = median(opening.collect());
-    let with_flows = held();
+    let placement_time = median(placement_time.collect());
+    let with_flows = allocated_bytes();
     let message = heartbeat(0).encode();
-    let hearing = (0..RUNS).map(|_| {
+    let heartbeat_time = (0..RUNS).map(|_| {
         let mut round = || {
             for agent in 0..agents {
                 balancer.handle_peer(now, agent_address(agent), &message);
@@ -153,15 +153,15 @@
         };
         time(&mut round)
     });
-    let hearing = median(hearing.collect());
+    let heartbeat_time = median(heartbeat_time.collect());
     println!(
         "{services} routes, {agents} agents: {} B a route, {} B an agent, {} B a flow; opening a \
          flow {:.1} us, a heartbeat {:.2} us of {} B; {} allocations in all",
         (with_routes - before) / services as isize,
         (with_agents - with_routes) / agents as isize,
         (with_flows - with_agents) / FLOWS as isize,
-        opening.as_secs_f64() * 1e6 / (FLOWS / RUNS as u64) as f64,
-        hearing.as_secs_f64() * 1e6 / f64::from(agents),
+        placement_time.as_secs_f64() * 1e6 / (FLOWS / RUNS as u64) as f64,
+        heartbeat_time.as_secs_f64() * 1e6 / f64::from(agents),
         message.len(),
         region.change().allocations,
     );
--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -3,7 +3,8 @@
 
 use loftdrift_balancer::{Balancer, HEADROOM_BYTES, Verdict};
 use loftdrift_bench::{
-    BACKENDS, SERVICES, configuration, nanoseconds_each, paired, segment, service_address,
+    BACKENDS, SERVICES, alternating_medians, configuration, nanoseconds_per_item, segment,
+    service_address,
 };
 use loftdrift_liveness::ProbeSettings;
 use loftdrift_steering::{SteeringMap, flow_hash};
@@ -61,33 +62,33 @@
     option.current().expect("a candidate").agent
 }
 
-fn consume(agent: SocketAddrV4) {
+fn discard(agent: SocketAddrV4) {
     black_box(agent);
 }
 
-fn against_plain_table() {
+fn compare_with_plain_table() {
     let map = SteeringMap::new(&configuration(SERVICES, BACKENDS));
     let table = PlainTable::new();
     let packets = packets(FEW_FLOWS);
-    let (ours, plain) = paired(
-        || packets.iter().for_each(|packet| consume(decide(&map, packet))),
-        || packets.iter().for_each(|packet| consume(table.decide(packet))),
+    let (ours, plain) = alternating_medians(
+        || packets.iter().for_each(|packet| discard(decide(&map, packet))),
+        || packets.iter().for_each(|packet| discard(table.decide(packet))),
     );
     println!(
         "decision: {:.1} ns, plain table {:.1} ns, ratio {:.2}",
-        nanoseconds_each(ours, PACKETS),
-        nanoseconds_each(plain, PACKETS),
+        nanoseconds_per_item(ours, PACKETS),
+        nanoseconds_per_item(plain, PACKETS),
         ours.as_secs_f64() / plain.as_secs_f64(),
     );
 }
 
-fn over_flows() {
+fn compare_flow_counts() {
     let map = SteeringMap::new(&configuration(SERVICES, BACKENDS));
     let few = packets(FEW_FLOWS);
     let many = packets(MANY_FLOWS);
-    let (many_time, few_time) = paired(
-        || many.iter().for_each(|packet| consume(decide(&map, packet))),
-        || few.iter().for_each(|packet| consume(decide(&map, packet))),
+    let (many_time, few_time) = alternating_medians(
+        || many.iter().for_each(|packet| discard(decide(&map, packet))),
+        || few.iter().for_each(|packet| discard(decide(&map, packet))),
     );
     println!(
         "decision at {MANY_FLOWS} flows over {FEW_FLOWS} flows: ratio {:.2}",
@@ -96,7 +97,7 @@
 }
 
 /// The whole of the core's work on a packet: decode, decide, write the new header.
-fn whole_core() {
+fn time_whole_core() {
     let mut balancer = Balancer::new(ProbeSettings {
         interval: Duration::from_secs(1),
         timeout: Duration::from_secs(1),
@@ -117,13 +118,13 @@
             forwarded += usize::from(matches!(verdict, Verdict::Forward(_)));
         }
     };
-    let (time, _) = paired(&mut work, || {});
+    let (time, _) = alternating_medians(&mut work, || {});
     assert!(forwarded > 0 && forwarded.is_multiple_of(PACKETS));
-    println!("whole core: {:.1} ns a packet", nanoseconds_each(time, PACKETS));
+    println!("whole core: {:.1} ns a packet", nanoseconds_per_item(time, PACKETS));
 }
 
 fn main() {
-    against_plain_table();
-    over_flows();
-    whole_core();
+    compare_with_plain_table();
+    compare_flow_counts();
+    time_whole_core();
 }
--- a/crates/bench/benches/forwarding.rs
+++ b/crates/bench/benches/forwarding.rs
@@ -11,11 +11,11 @@
 use tokio::sync::{mpsc, watch};
 
 const SERVICES: u32 = 20;
-const PACKETS_A_ROUND: usize = 100_000;
+const PACKETS_PER_ROUND: usize = 100_000;
 /// Packets under way at a time: few enough that no socket buffer overflows.
-const WINDOW: usize = 64;
+const WINDOW_PACKETS: usize = 64;
 const ROUNDS: usize = 9;
-const DATAGRAMS_A_TURN: usize = 64;
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 async fn bind() -> UdpSocket {
     UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port")
@@ -33,7 +33,7 @@
     let mut buffer = vec![0; 65_535];
     loop {
         socket.readable().await.expect("a socket");
-        for _ in 0..DATAGRAMS_A_TURN {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             let Ok((length, _)) = socket.try_recv_from(&mut buffer) else {
                 break;
             };
@@ -73,7 +73,7 @@
 }
 
 /// Time for a round of packets through `hop` to `sink`, a window at a time.
-fn round(
+fn run_round(
     source: &std::net::UdpSocket,
     sink: &std::net::UdpSocket,
     hop: SocketAddrV4,
@@ -81,12 +81,12 @@
 ) -> Duration {
     let mut buffer = vec![0; 65_535];
     let start = Instant::now();
-    for window in 0..PACKETS_A_ROUND / WINDOW {
-        for number in 0..WINDOW {
-            let packet = &packets[(window * WINDOW + number) % packets.len()];
+    for window in 0..PACKETS_PER_ROUND / WINDOW_PACKETS {
+        for number in 0..WINDOW_PACKETS {
+            let packet = &packets[(window * WINDOW_PACKETS + number) % packets.len()];
             source.send_to(packet, hop).expect("a send");
         }
-        for _ in 0..WINDOW {
+        for _ in 0..WINDOW_PACKETS {
             sink.recv(&mut buffer).expect("every packet arrives");
         }
     }
@@ -105,11 +105,11 @@
     let SocketAddr::V4(sink_address) = sink.local_addr().expect("an address") else {
         return;
     };
-    let (balancer, bare) = runtime.block_on(async {
+    let (balancer, relay_address) = runtime.block_on(async {
         let socket = bind().await;
-        let bare = address(&socket);
+        let relay_address = address(&socket);
         tokio::spawn(relay(socket, sink_address));
-        (start_balancer(sink_address).await, bare)
+        (start_balancer(sink_address).await, relay_address)
     });
     for payload_bytes in [64, 1_000] {
         let packet = |flow: u64| {
@@ -123,10 +123,10 @@
         let mut ours = Vec::new();
         let mut plain = Vec::new();
         for _ in 0..ROUNDS {
-            ours.push(round(&source, &sink, balancer, &packets));
-            plain.push(round(&source, &sink, bare, &packets));
+            ours.push(run_round(&source, &sink, balancer, &packets));
+            plain.push(run_round(&source, &sink, relay_address, &packets));
         }
-        let rate = |times| PACKETS_A_ROUND as f64 / loftdrift_bench::median(times).as_secs_f64();
+        let rate = |times| PACKETS_PER_ROUND as f64 / loftdrift_bench::median(times).as_secs_f64();
         let (ours, plain) = (rate(ours), rate(plain));
         println!(
             "payload {payload_bytes} bytes: balancer {ours:.0} packets/s, bare relay {plain:.0} \
--- a/crates/bench/benches/lookups.rs
+++ b/crates/bench/benches/lookups.rs
@@ -18,7 +18,7 @@
 const PEER_PORT: u16 = 7_720;
 const FIRST_AGENT: u32 = 0x0A02_0001;
 /// Time between two searches: longer than questions gather.
-const STEP: Duration = Duration::from_millis(10);
+const LOOKUP_INTERVAL: Duration = Duration::from_millis(10);
 
 fn agent_address(number: u32) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from(FIRST_AGENT + number), PEER_PORT)
@@ -95,25 +95,25 @@
 
 #[derive(Default)]
 struct Cost {
-    questions: u64,
+    queries: u64,
     bytes: u64,
 }
 
 /// A packet of a flow that is not remembered, until one of the agents asked has answered.
-fn search(balancer: &mut CarriedBalancer, now: Duration, flow: u64, cost: &mut Cost) {
+fn look_up(balancer: &mut CarriedBalancer, now: Duration, flow: u64, cost: &mut Cost) {
     let head = Segment::between(caller_address(flow), service_address(0));
     let segment = Segment { ack: true, acknowledgement: 7, ..head };
     balancer.handle_caller(now, &PlainFormat::write(&segment, b"data"));
     balancer.handle_timeout(now);
-    let mut holder = None;
+    let mut target = None;
     while let Some(output) = balancer.take_output() {
         if let Output::ToPeer { to, message: message @ Message::Lookup { .. } } = output {
-            cost.questions += 1;
+            cost.queries += 1;
             cost.bytes += message.encode().len() as u64;
-            holder = Some((to, message));
+            target = Some((to, message));
         }
     }
-    let Some((to, Message::Lookup { queries })) = holder else { return };
+    let Some((to, Message::Lookup { queries })) = target else { return };
     let answers = queries
         .iter()
         .map(|question| FlowAnswer { flow: question.flow, status: FlowStatus::Owned });
@@ -126,24 +126,24 @@
     let mut balancer = balancer(agents);
     let mut cost = Cost::default();
     let mut flow = 0;
-    let mut now = STEP;
+    let mut now = LOOKUP_INTERVAL;
     let times = (0..RUNS).map(|_| {
         let mut round = || {
             for _ in 0..FLOWS {
                 flow += 1;
-                now += STEP;
-                search(&mut balancer, now, flow, &mut cost);
+                now += LOOKUP_INTERVAL;
+                look_up(&mut balancer, now, flow, &mut cost);
             }
         };
         time(&mut round)
     });
-    let took = median(times.collect());
-    let searches = RUNS as f64 * FLOWS as f64;
+    let elapsed = median(times.collect());
+    let lookups = RUNS as f64 * FLOWS as f64;
     println!(
         "{agents} agents: {:.1} us, {:.1} questions, {:.0} B a search",
-        took.as_secs_f64() * 1e6 / FLOWS as f64,
-        cost.questions as f64 / searches,
-        cost.bytes as f64 / searches,
+        elapsed.as_secs_f64() * 1e6 / FLOWS as f64,
+        cost.queries as f64 / lookups,
+        cost.bytes as f64 / lookups,
     );
 }
 
--- a/crates/bench/benches/state.rs
+++ b/crates/bench/benches/state.rs
@@ -22,11 +22,11 @@
 const FLOWS: u64 = 500;
 
 /// Bytes that stay allocated after `make`, together with what it made.
-fn held_by<T>(make: impl FnOnce() -> T) -> (T, usize) {
+fn measure_allocation<T>(build: impl FnOnce() -> T) -> (T, usize) {
     let region = Region::new(ALLOCATOR);
-    let made = make();
+    let value = build();
     let change = region.change();
-    (made, change.bytes_allocated.saturating_sub(change.bytes_deallocated))
+    (value, change.bytes_allocated.saturating_sub(change.bytes_deallocated))
 }
 
 fn store_bytes(writes: &[StoreWrite]) -> usize {
@@ -38,15 +38,15 @@
 }
 
 fn configuration_state(services: u32, backends: u32) {
-    let (held, held_bytes) = held_by(|| configuration(services, backends));
-    let (map, map_bytes) = held_by(|| SteeringMap::new(&held));
-    let build = (0..RUNS).map(|_| time(&mut || drop(SteeringMap::new(&held))));
+    let (config, config_bytes) = measure_allocation(|| configuration(services, backends));
+    let (map, map_bytes) = measure_allocation(|| SteeringMap::new(&config));
+    let build = (0..RUNS).map(|_| time(&mut || drop(SteeringMap::new(&config))));
     let build = median(build.collect());
-    let writes = Documents::writes(&Configuration::default(), &held, "command");
+    let writes = Documents::writes(&Configuration::default(), &config, "command");
     println!(
         "{services} services, {backends} back ends: configuration {} kB, steering tables {} kB, \
          tables built in {:.2} ms, documents in the store {} kB",
-        held_bytes / 1_000,
+        config_bytes / 1_000,
         map_bytes / 1_000,
         build.as_secs_f64() * 1e3,
         store_bytes(&writes) / 1_000,
@@ -91,7 +91,7 @@
 }
 
 fn agent_state() {
-    let (agent, bytes) = held_by(|| {
+    let (agent, bytes) = measure_allocation(|| {
         let mut agent = Agent::new(agent_settings()).expect("a chart");
         agent.adopt(Duration::ZERO, &configuration(SERVICES, BACKENDS));
         agent
@@ -101,7 +101,7 @@
     for buffer_bytes in [4 * 1024, 16 * 1024] {
         let settings =
             EndpointSettings { buffer_bytes, timestamps: Timestamps::Clock, sequence_seed: 1 };
-        let (endpoints, bytes) = held_by(|| {
+        let (endpoints, bytes) = measure_allocation(|| {
             let endpoint = |flow| {
                 let key = FlowKey {
                     caller: caller_address(flow),
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -81,7 +81,10 @@
 }
 
 /// Times `first` and `second` in turn and returns the median time of each.
-pub fn paired(mut first: impl FnMut(), mut second: impl FnMut()) -> (Duration, Duration) {
+pub fn alternating_medians(
+    mut first: impl FnMut(),
+    mut second: impl FnMut(),
+) -> (Duration, Duration) {
     first();
     second();
     let mut times = (Vec::new(), Vec::new());
@@ -106,6 +109,6 @@
 }
 
 /// Nanoseconds for each of `count`.
-pub fn nanoseconds_each(time: Duration, count: usize) -> f64 {
+pub fn nanoseconds_per_item(time: Duration, count: usize) -> f64 {
     time.as_nanos() as f64 / count as f64
 }
--- a/crates/lab/src/carried/caller.rs
+++ b/crates/lab/src/carried/caller.rs
@@ -4,28 +4,28 @@
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
-const COPIES_AFTER_MS: [u64; 2] = [200, 600];
-const OPENING_LASTS: Duration = Duration::from_millis(1_400);
-const REPEAT_AFTER: Duration = Duration::from_millis(200);
-const DEADLINE: Duration = Duration::from_secs(4);
-const TRIES: u32 = 3;
+const SYN_RETRANSMIT_MS: [u64; 2] = [200, 600];
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_400);
+const REQUEST_RETRANSMIT_DELAY: Duration = Duration::from_millis(200);
+const REQUEST_DEADLINE: Duration = Duration::from_secs(4);
+const MAX_ATTEMPTS: u32 = 3;
 /// Further from what the caller has acknowledged, a reset is not of its flow.
 const RESET_WINDOW: u32 = 76_800;
 /// Between two requests of a caller that keeps its flow.
-const PAUSES: [Duration; 3] =
+const THINK_TIMES: [Duration; 3] =
     [Duration::from_millis(300), Duration::from_millis(900), Duration::from_millis(2_300)];
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallerState {
-    Opening {
-        copies: usize,
+    Connecting {
+        syns_sent: usize,
     },
     /// Open at the back end that sent this sequence number.
-    Open {
+    Connected {
         sequence: u32,
     },
     /// Open there, with the last request answered; another one follows after a pause.
-    Resting {
+    Idle {
         sequence: u32,
     },
     Served,
@@ -41,9 +41,9 @@
     pub(super) packet: Option<Vec<u8>>,
     pub(super) wake_at: Option<Duration>,
     /// An open flow was reset.
-    pub(super) was_broken: bool,
+    pub(super) flow_reset: bool,
     /// An answer of another request came.
-    pub(super) was_mixed: bool,
+    pub(super) wrong_answer: bool,
 }
 
 #[derive(Debug)]
@@ -52,18 +52,18 @@
     pub(super) state: CallerState,
     /// Address of the try under way.
     pub(super) address: SocketAddrV4,
-    pub(super) try_started: Duration,
-    asked_at: Duration,
-    tries: u32,
-    repeats: u32,
+    pub(super) attempt_started: Duration,
+    request_started: Duration,
+    attempts: u32,
+    retransmissions: u32,
     number: u64,
     /// Requests still to come on the same flow.
-    rounds_left: u32,
-    round: u32,
+    requests_left: u32,
+    request_index: u32,
     /// Bytes sent on the flow before the request under way.
-    sent: u32,
+    bytes_sent: u32,
     /// Flows asked for so far.
-    flows: u32,
+    flow_count: u32,
     /// When the state under way wants to be woken.
     wakes_at: Duration,
 }
@@ -74,21 +74,21 @@
         number: u64,
         address: SocketAddrV4,
         service: SocketAddrV4,
-        rounds: u32,
+        request_count: u32,
     ) -> Self {
         Caller {
             service,
-            state: CallerState::Opening { copies: 0 },
+            state: CallerState::Connecting { syns_sent: 0 },
             address,
-            try_started: now,
-            asked_at: now,
-            tries: 1,
-            repeats: 0,
+            attempt_started: now,
+            request_started: now,
+            attempts: 1,
+            retransmissions: 0,
             number,
-            rounds_left: rounds - 1,
-            round: 0,
-            sent: 0,
-            flows: 0,
+            requests_left: request_count - 1,
+            request_index: 0,
+            bytes_sent: 0,
+            flow_count: 0,
             wakes_at: now,
         }
     }
@@ -103,17 +103,18 @@
     /// The try's identity, which is also the request's bytes.
     fn request(&self) -> Vec<u8> {
         let kind = if self.keeps_flow() { "long" } else { "request" };
-        format!("{kind} {} round {} try {}", self.number, self.round, self.tries).into_bytes()
+        format!("{kind} {} round {} try {}", self.number, self.request_index, self.attempts)
+            .into_bytes()
     }
 
     /// The first number of the flow under way, far from those of other flows of the same port.
-    fn first_number(&self) -> u32 {
-        (self.number as u32).wrapping_mul(0x9e37_79b9).wrapping_add(self.flows * 0x0100_0193)
+    fn first_sequence(&self) -> u32 {
+        (self.number as u32).wrapping_mul(0x9e37_79b9).wrapping_add(self.flow_count * 0x0100_0193)
     }
 
     /// Whether its requests share a flow.
     fn keeps_flow(&self) -> bool {
-        self.round > 0 || self.rounds_left > 0
+        self.request_index > 0 || self.requests_left > 0
     }
 
     /// Does what is due at `now`; a wake-up that was meant for an earlier state does nothing.
@@ -121,41 +122,41 @@
         if self.is_over() || now < self.wakes_at {
             return CallerStep::default();
         }
-        if let CallerState::Resting { sequence } = self.state {
-            self.begin_round(now);
-            self.state = CallerState::Open { sequence };
+        if let CallerState::Idle { sequence } = self.state {
+            self.begin_request(now);
+            self.state = CallerState::Connected { sequence };
         }
-        if now.saturating_sub(self.asked_at) >= DEADLINE {
+        if now.saturating_sub(self.request_started) >= REQUEST_DEADLINE {
             self.state = CallerState::Lost;
             return CallerStep::default();
         }
         match self.state {
-            CallerState::Opening { copies } => {
-                if copies == 0 {
-                    self.try_started = now;
+            CallerState::Connecting { syns_sent } => {
+                if syns_sent == 0 {
+                    self.attempt_started = now;
                 }
-                self.send_opening(now, copies)
+                self.send_syn(now, syns_sent)
             }
-            CallerState::Open { sequence } => self.send_request(now, sequence),
+            CallerState::Connected { sequence } => self.send_request(now, sequence),
             _ => CallerStep::default(),
         }
     }
 
-    fn send_opening(&mut self, now: Duration, copies: usize) -> CallerStep {
-        let age = now.saturating_sub(self.try_started);
-        if age >= OPENING_LASTS {
+    fn send_syn(&mut self, now: Duration, syns_sent: usize) -> CallerStep {
+        let age = now.saturating_sub(self.attempt_started);
+        if age >= CONNECT_TIMEOUT {
             self.state = CallerState::Lost;
             return CallerStep::default();
         }
-        if copies > COPIES_AFTER_MS.len() {
-            return self.wait_until(self.try_started + OPENING_LASTS, None);
+        if syns_sent > SYN_RETRANSMIT_MS.len() {
+            return self.wait_until(self.attempt_started + CONNECT_TIMEOUT, None);
         }
         let head = Segment::between(self.address, self.service);
-        let sequence = self.first_number();
-        let segment = Segment { syn: true, sequence, acknowledgement: copies as u32, ..head };
-        self.state = CallerState::Opening { copies: copies + 1 };
-        let next = COPIES_AFTER_MS.get(copies).map(|ms| Duration::from_millis(*ms));
-        let wakes_at = self.try_started + next.unwrap_or(OPENING_LASTS);
+        let sequence = self.first_sequence();
+        let segment = Segment { syn: true, sequence, acknowledgement: syns_sent as u32, ..head };
+        self.state = CallerState::Connecting { syns_sent: syns_sent + 1 };
+        let next = SYN_RETRANSMIT_MS.get(syns_sent).map(|ms| Duration::from_millis(*ms));
+        let wakes_at = self.attempt_started + next.unwrap_or(CONNECT_TIMEOUT);
         self.wait_until(wakes_at, Some(PlainFormat::write(&segment, &[])))
     }
 
@@ -166,10 +167,10 @@
 
     fn send_request(&mut self, now: Duration, sequence: u32) -> CallerStep {
         let head = Segment::between(self.address, self.service);
-        let own = self.first_number().wrapping_add(self.sent);
+        let own = self.first_sequence().wrapping_add(self.bytes_sent);
         let segment = Segment { ack: true, sequence: own, acknowledgement: sequence, ..head };
-        let pause = REPEAT_AFTER * 2_u32.pow(self.repeats.min(3));
-        self.repeats += 1;
+        let pause = REQUEST_RETRANSMIT_DELAY * 2_u32.pow(self.retransmissions.min(3));
+        self.retransmissions += 1;
         self.wait_until(now + pause, Some(PlainFormat::write(&segment, &self.request())))
     }
 
@@ -181,45 +182,45 @@
         next_address: SocketAddrV4,
     ) -> CallerStep {
         let Ok(segment) = PlainFormat.parse(packet) else { return CallerStep::default() };
-        if segment.rst && !self.heeds(&segment) {
+        if segment.rst && !self.accepts_reset(&segment) {
             return CallerStep::default();
         }
         match self.state {
-            CallerState::Opening { .. } if segment.rst => self.try_again(now, next_address),
-            CallerState::Opening { .. } if segment.syn => {
-                self.state = CallerState::Open { sequence: segment.sequence };
+            CallerState::Connecting { .. } if segment.rst => self.retry(now, next_address),
+            CallerState::Connecting { .. } if segment.syn => {
+                self.state = CallerState::Connected { sequence: segment.sequence };
                 self.send_request(now, segment.sequence)
             }
-            CallerState::Open { .. } | CallerState::Resting { .. } if segment.rst => {
-                let step = self.lose_flow(now, next_address);
-                CallerStep { was_broken: true, ..step }
+            CallerState::Connected { .. } | CallerState::Idle { .. } if segment.rst => {
+                let step = self.handle_reset(now, next_address);
+                CallerStep { flow_reset: true, ..step }
             }
             // Any other is the answer of before once more.
-            CallerState::Open { sequence }
+            CallerState::Connected { sequence }
                 if segment.payload_bytes > 0 && segment.sequence == sequence =>
             {
                 let data = PlainFormat::data(packet);
                 if data == PlainFormat::FAILED || data == PlainFormat::REFUSED {
                     self.state = CallerState::Failed;
-                    return self.send_end(sequence.wrapping_add(u32::from(segment.payload_bytes)));
+                    return self.send_fin(sequence.wrapping_add(u32::from(segment.payload_bytes)));
                 }
                 if data != self.request() {
-                    return CallerStep { was_mixed: true, ..CallerStep::default() };
+                    return CallerStep { wrong_answer: true, ..CallerStep::default() };
                 }
-                if self.rounds_left > 0 {
-                    return self.rest(now, &segment, next_address);
+                if self.requests_left > 0 {
+                    return self.finish_request(now, &segment, next_address);
                 }
                 self.state = CallerState::Served;
-                self.send_end(sequence.wrapping_add(u32::from(segment.payload_bytes)))
+                self.send_fin(sequence.wrapping_add(u32::from(segment.payload_bytes)))
             }
             _ => CallerStep::default(),
         }
     }
 
     /// Whether a reset is near what the caller has acknowledged; any will do before that.
-    fn heeds(&self, reset: &Segment) -> bool {
+    fn accepts_reset(&self, reset: &Segment) -> bool {
         match self.state {
-            CallerState::Open { sequence } | CallerState::Resting { sequence } => {
+            CallerState::Connected { sequence } | CallerState::Idle { sequence } => {
                 let distance = reset.sequence.wrapping_sub(sequence).cast_signed();
                 distance.unsigned_abs() <= RESET_WINDOW
             }
@@ -228,48 +229,53 @@
     }
 
     /// Waits before the next request, on the same flow unless the back end has ended it.
-    fn rest(&mut self, now: Duration, segment: &Segment, next_address: SocketAddrV4) -> CallerStep {
-        let pause = PAUSES[self.number as usize % PAUSES.len()];
+    fn finish_request(
+        &mut self,
+        now: Duration,
+        segment: &Segment,
+        next_address: SocketAddrV4,
+    ) -> CallerStep {
+        let pause = THINK_TIMES[self.number as usize % THINK_TIMES.len()];
         let sequence = segment.end();
         let acknowledgement = self.send_acknowledgement(sequence, segment.fin);
-        self.sent += self.request().len() as u32;
-        self.state = CallerState::Resting { sequence };
+        self.bytes_sent += self.request().len() as u32;
+        self.state = CallerState::Idle { sequence };
         if segment.fin {
-            self.begin_round(now + pause);
-            self.open_anew(next_address);
+            self.begin_request(now + pause);
+            self.open_new_flow(next_address);
         }
         self.wait_until(now + pause, Some(acknowledgement))
     }
 
-    fn begin_round(&mut self, now: Duration) {
-        self.asked_at = now;
-        self.rounds_left -= 1;
-        self.round += 1;
-        self.tries = 1;
-        self.repeats = 0;
+    fn begin_request(&mut self, now: Duration) {
+        self.request_started = now;
+        self.requests_left -= 1;
+        self.request_index += 1;
+        self.attempts = 1;
+        self.retransmissions = 0;
     }
 
-    fn open_anew(&mut self, address: SocketAddrV4) {
+    fn open_new_flow(&mut self, address: SocketAddrV4) {
         self.address = address;
-        self.flows += 1;
-        self.sent = 0;
-        self.state = CallerState::Opening { copies: 0 };
+        self.flow_count += 1;
+        self.bytes_sent = 0;
+        self.state = CallerState::Connecting { syns_sent: 0 };
     }
 
     /// The flow was reset: a caller that keeps its flow repeats the request on another one.
-    fn lose_flow(&mut self, now: Duration, address: SocketAddrV4) -> CallerStep {
+    fn handle_reset(&mut self, now: Duration, address: SocketAddrV4) -> CallerStep {
         if !self.keeps_flow() {
             self.state = CallerState::Lost;
             return CallerStep::default();
         }
-        if matches!(self.state, CallerState::Resting { .. }) {
-            self.begin_round(self.wakes_at);
-            self.open_anew(address);
+        if matches!(self.state, CallerState::Idle { .. }) {
+            self.begin_request(self.wakes_at);
+            self.open_new_flow(address);
             return self.wait_until(self.wakes_at, None);
         }
-        self.sent = 0;
-        self.repeats = 0;
-        self.try_again(now, address)
+        self.bytes_sent = 0;
+        self.retransmissions = 0;
+        self.retry(now, address)
     }
 
     fn send_acknowledgement(&self, acknowledgement: u32, fin: bool) -> Vec<u8> {
@@ -278,19 +284,19 @@
         PlainFormat::write(&segment, &[])
     }
 
-    fn try_again(&mut self, now: Duration, address: SocketAddrV4) -> CallerStep {
-        if self.tries == TRIES {
+    fn retry(&mut self, now: Duration, address: SocketAddrV4) -> CallerStep {
+        if self.attempts == MAX_ATTEMPTS {
             self.state = CallerState::Refused;
             return CallerStep::default();
         }
-        self.tries += 1;
-        self.flows += 1;
+        self.attempts += 1;
+        self.flow_count += 1;
         self.address = address;
-        self.try_started = now;
-        self.send_opening(now, 0)
+        self.attempt_started = now;
+        self.send_syn(now, 0)
     }
 
-    fn send_end(&self, acknowledgement: u32) -> CallerStep {
+    fn send_fin(&self, acknowledgement: u32) -> CallerStep {
         let packet = Some(self.send_acknowledgement(acknowledgement, true));
         CallerStep { packet, ..CallerStep::default() }
     }
--- a/crates/lab/src/carried/fault.rs
+++ b/crates/lab/src/carried/fault.rs
@@ -17,11 +17,11 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StoreRestore {
     /// How old the copy is at the return; everything written since is gone.
-    pub copy_age: Duration,
+    pub backup_age: Duration,
     /// For how long the store is away before.
-    pub away: Duration,
+    pub outage: Duration,
     /// How long after the return operators write again what is gone.
-    pub operator_after: Duration,
+    pub rewrite_delay: Duration,
 }
 
 /// One thing that happens. Nodes and back ends are named by their numbers.
@@ -42,9 +42,9 @@
     /// A balancer is asked to stop, and starts again when it has.
     StopBalancer(usize),
     /// A node is cut off from all other nodes; callers and its back end still reach it.
-    CutBalancer(usize, Duration),
+    IsolateBalancer(usize, Duration),
     /// An agent is cut off.
-    CutAgent(usize, Duration),
+    IsolateAgent(usize, Duration),
     /// Packets are lost with this probability.
     Loss(f64, Duration),
     /// The store answers nobody.
@@ -54,7 +54,7 @@
     /// The store refuses every balancer while it serves the operator and the agents.
     RefuseBalancers(Duration),
     /// Waits at the store that are under way hang: their connections have gone silent, new ones work.
-    HangWaits(Duration),
+    HangWatches(Duration),
     /// The second address changes the service that it stands for.
     MoveRoute,
     /// The operator evacuates a zone.
--- a/crates/lab/src/carried/outcome.rs
+++ b/crates/lab/src/carried/outcome.rs
@@ -20,15 +20,15 @@
     /// Agents that balancers held for dead, in the last process of each balancer.
     pub suspicions: u64,
     /// Longest time after a change at which a node that ran, and was not cut off, had not got it.
-    pub slowest_change: Duration,
+    pub max_propagation: Duration,
     /// Open flows that were reset though their back end lived.
     pub broken_flows: u64,
     /// Answers of another request.
-    pub mixed_answers: u64,
+    pub mismatched_answers: u64,
     /// Tries that ran more than once.
-    pub doubled_runs: u64,
+    pub duplicate_runs: u64,
     /// Tries that ran at a service that no configuration ever sent them to.
-    pub foreign_runs: u64,
+    pub wrong_service_runs: u64,
     /// Flows taken by a back end long after it was acknowledged that it leaves.
     pub late_drains: u64,
     /// Flows taken by a back end long after its zone was evacuated.
@@ -50,10 +50,10 @@
             lost,
             store_calls,
             suspicions,
-            slowest_change,
+            max_propagation,
             ..
         } = *self;
         let kept = CarriedOutcome { requests, served, refused, failed, lost, ..Default::default() };
-        *self == CarriedOutcome { store_calls, suspicions, slowest_change, ..kept }
+        *self == CarriedOutcome { store_calls, suspicions, max_propagation, ..kept }
     }
 }
--- a/crates/lab/src/carried/process.rs
+++ b/crates/lab/src/carried/process.rs
@@ -18,19 +18,19 @@
     pub(super) frozen_until: Duration,
     /// When the last freeze began.
     pub(super) frozen_since: Duration,
-    pub(super) cut_until: Duration,
+    pub(super) isolated_until: Duration,
     /// Its wait at the store hangs.
-    pub(super) wait_hangs_until: Duration,
+    pub(super) watch_hangs_until: Duration,
     /// Counts the starts, so that what was meant for an earlier one is told.
-    pub(super) starts: u64,
+    pub(super) incarnation: u64,
     /// When it is woken next.
     pub(super) wake_at: Option<Duration>,
     /// It has read the list of nodes.
-    pub(super) has_list: bool,
+    pub(super) knows_members: bool,
     /// What waits for its processor, where that is weak.
     pub(super) inbox: Inbox,
     /// Balancers: the router's view.
-    pub(super) is_in: bool,
+    pub(super) in_rotation: bool,
     pub(super) missed_probes: u32,
 }
 
@@ -42,13 +42,13 @@
             started: Duration::ZERO,
             frozen_until: Duration::ZERO,
             frozen_since: Duration::ZERO,
-            cut_until: Duration::ZERO,
-            wait_hangs_until: Duration::ZERO,
-            starts: 0,
+            isolated_until: Duration::ZERO,
+            watch_hangs_until: Duration::ZERO,
+            incarnation: 0,
             wake_at: None,
-            has_list: false,
+            knows_members: false,
             inbox: Inbox::default(),
-            is_in: false,
+            in_rotation: false,
             missed_probes: 0,
         }
     }
--- a/crates/lab/src/carried/random_faults.rs
+++ b/crates/lab/src/carried/random_faults.rs
@@ -5,35 +5,35 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-const MOST_FAULTS: usize = 6;
+const MAX_FAULTS: usize = 6;
 const FIRST_FAULT_MS: u64 = 1_000;
 const LAST_FAULT_MS: u64 = 14_000;
-const SHORTEST_MS: u64 = 100;
-const LONGEST_MS: u64 = 4_000;
-const MOST_EVACUATIONS: u32 = 3;
-const LONGEST_EVACUATION_MS: u64 = 10_000;
+const MIN_FAULT_MS: u64 = 100;
+const MAX_FAULT_MS: u64 = 4_000;
+const MAX_EVACUATIONS: u32 = 3;
+const MAX_EVACUATION_MS: u64 = 10_000;
 const ZONES: usize = 3;
-const MOST_RETURNS: u32 = 3;
-const OLDEST_COPY_MS: u64 = 6_000;
-const LONGEST_ABSENCE_MS: u64 = 3_000;
-const LATEST_OPERATOR_MS: u64 = 5_000;
-const MOST_HANGS: u32 = 3;
+const MAX_RESTORES: u32 = 3;
+const MAX_BACKUP_AGE_MS: u64 = 6_000;
+const MAX_OUTAGE_MS: u64 = 3_000;
+const MAX_REWRITE_DELAY_MS: u64 = 5_000;
+const MAX_HANGS: u32 = 3;
 /// What a wait and its time-out take at the longest.
-const LONGEST_HANG_MS: u64 = 11_500;
-const MOST_LOSS: f64 = 0.1;
+const MAX_HANG_MS: u64 = 11_500;
+const MAX_LOSS_PROBABILITY: f64 = 0.1;
 
 /// The faults of a day.
 pub fn random_faults(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let count = random.random_range(1..=MOST_FAULTS);
-    let mut day: Vec<TimedFault> = (0..count)
+    let count = random.random_range(1..=MAX_FAULTS);
+    let mut faults: Vec<TimedFault> = (0..count)
         .map(|_| {
             let at = Duration::from_millis(random.random_range(FIRST_FAULT_MS..LAST_FAULT_MS));
             TimedFault { at, fault: random_fault(&mut random, balancers, agents) }
         })
         .collect();
-    day.sort_by_key(|timed| timed.at);
-    day
+    faults.sort_by_key(|timed| timed.at);
+    faults
 }
 
 /// The same day with zones evacuated and taken back, up to three times.
@@ -42,42 +42,41 @@
     balancers: usize,
     agents: usize,
 ) -> Vec<TimedFault> {
-    let mut day = random_faults(seed, balancers, agents);
+    let mut faults = random_faults(seed, balancers, agents);
     let mut random = ChaCha8Rng::seed_from_u64(!seed);
-    for _ in 0..random.random_range(1..=MOST_EVACUATIONS) {
+    for _ in 0..random.random_range(1..=MAX_EVACUATIONS) {
         let zone = random.random_range(0..ZONES);
         let at = Duration::from_millis(random.random_range(FIRST_FAULT_MS..LAST_FAULT_MS));
-        let lasts = Duration::from_millis(random.random_range(SHORTEST_MS..LONGEST_EVACUATION_MS));
-        day.push(TimedFault { at, fault: CarriedFault::Evacuate(zone) });
-        day.push(TimedFault { at: at + lasts, fault: CarriedFault::EndEvacuation(zone) });
+        let duration = Duration::from_millis(random.random_range(MIN_FAULT_MS..MAX_EVACUATION_MS));
+        faults.push(TimedFault { at, fault: CarriedFault::Evacuate(zone) });
+        faults.push(TimedFault { at: at + duration, fault: CarriedFault::EndEvacuation(zone) });
     }
-    day.sort_by_key(|timed| timed.at);
-    day
+    faults.sort_by_key(|timed| timed.at);
+    faults
 }
 
 /// The same day, with the store coming back from older copies up to three times, and a change before and
 /// after each.
 pub fn random_faults_with_restores(seed: u64, balancers: usize, agents: usize) -> Vec<TimedFault> {
-    let mut day = random_faults(seed, balancers, agents);
+    let mut faults = random_faults(seed, balancers, agents);
     let mut random = ChaCha8Rng::seed_from_u64(seed.rotate_left(32));
-    for _ in 0..random.random_range(1..=MOST_RETURNS) {
+    for _ in 0..random.random_range(1..=MAX_RESTORES) {
         let at = random.random_range(FIRST_FAULT_MS..LAST_FAULT_MS);
-        let mut milliseconds =
-            |least, most| Duration::from_millis(random.random_range(least..most));
-        let back = StoreRestore {
-            copy_age: milliseconds(SHORTEST_MS, OLDEST_COPY_MS),
-            away: milliseconds(1, LONGEST_ABSENCE_MS),
-            operator_after: milliseconds(0, LATEST_OPERATOR_MS),
+        let mut milliseconds = |min, max| Duration::from_millis(random.random_range(min..max));
+        let restore = StoreRestore {
+            backup_age: milliseconds(MIN_FAULT_MS, MAX_BACKUP_AGE_MS),
+            outage: milliseconds(1, MAX_OUTAGE_MS),
+            rewrite_delay: milliseconds(0, MAX_REWRITE_DELAY_MS),
         };
         let at = Duration::from_millis(at);
-        let before = at.saturating_sub(milliseconds(0, OLDEST_COPY_MS));
-        let after = at + back.away + milliseconds(0, LONGEST_MS);
-        day.push(TimedFault { at: before, fault: CarriedFault::MoveRoute });
-        day.push(TimedFault { at, fault: CarriedFault::StoreRestored(back) });
-        day.push(TimedFault { at: after, fault: CarriedFault::MoveRoute });
+        let before = at.saturating_sub(milliseconds(0, MAX_BACKUP_AGE_MS));
+        let after = at + restore.outage + milliseconds(0, MAX_FAULT_MS);
+        faults.push(TimedFault { at: before, fault: CarriedFault::MoveRoute });
+        faults.push(TimedFault { at, fault: CarriedFault::StoreRestored(restore) });
+        faults.push(TimedFault { at: after, fault: CarriedFault::MoveRoute });
     }
-    day.sort_by_key(|timed| timed.at);
-    day
+    faults.sort_by_key(|timed| timed.at);
+    faults
 }
 
 /// The same day, with waits at the store that hang up to three times, and a change within the trouble.
@@ -86,44 +85,43 @@
     balancers: usize,
     agents: usize,
 ) -> Vec<TimedFault> {
-    let mut day = random_faults(seed, balancers, agents);
+    let mut faults = random_faults(seed, balancers, agents);
     let mut random = ChaCha8Rng::seed_from_u64(!seed.rotate_left(32));
-    for _ in 0..random.random_range(1..=MOST_HANGS) {
-        let mut milliseconds =
-            |least, most| Duration::from_millis(random.random_range(least..most));
+    for _ in 0..random.random_range(1..=MAX_HANGS) {
+        let mut milliseconds = |min, max| Duration::from_millis(random.random_range(min..max));
         let at = milliseconds(FIRST_FAULT_MS, LAST_FAULT_MS);
-        let lasts = milliseconds(LONGEST_MS, LONGEST_HANG_MS);
-        let changed_at = at + milliseconds(0, LONGEST_MS);
-        day.push(TimedFault { at, fault: CarriedFault::HangWaits(lasts) });
-        day.push(TimedFault { at: changed_at, fault: CarriedFault::MoveRoute });
+        let duration = milliseconds(MAX_FAULT_MS, MAX_HANG_MS);
+        let changed_at = at + milliseconds(0, MAX_FAULT_MS);
+        faults.push(TimedFault { at, fault: CarriedFault::HangWatches(duration) });
+        faults.push(TimedFault { at: changed_at, fault: CarriedFault::MoveRoute });
     }
-    day.sort_by_key(|timed| timed.at);
-    day
+    faults.sort_by_key(|timed| timed.at);
+    faults
 }
 
 fn random_fault(random: &mut ChaCha8Rng, balancers: usize, agents: usize) -> CarriedFault {
     let balancer = random.random_range(0..balancers);
     let agent = random.random_range(0..agents);
-    let lasts = Duration::from_millis(random.random_range(SHORTEST_MS..LONGEST_MS));
+    let duration = Duration::from_millis(random.random_range(MIN_FAULT_MS..MAX_FAULT_MS));
     match random.random_range(0..16) {
-        0 => CarriedFault::KillBalancer(balancer, lasts),
-        1 => CarriedFault::KillAgent(agent, lasts),
-        2 => CarriedFault::KillAll(lasts / 4),
-        3 => CarriedFault::FreezeBalancer(balancer, lasts),
-        4 => CarriedFault::FreezeAgent(agent, lasts),
+        0 => CarriedFault::KillBalancer(balancer, duration),
+        1 => CarriedFault::KillAgent(agent, duration),
+        2 => CarriedFault::KillAll(duration / 4),
+        3 => CarriedFault::FreezeBalancer(balancer, duration),
+        4 => CarriedFault::FreezeAgent(agent, duration),
         5 => CarriedFault::StopBalancer(balancer),
-        6 => CarriedFault::CutBalancer(balancer, lasts),
-        7 => CarriedFault::CutAgent(agent, lasts),
-        8 => CarriedFault::Loss(random.random_range(0.0..MOST_LOSS), lasts),
-        9 => CarriedFault::StoreDown(lasts),
+        6 => CarriedFault::IsolateBalancer(balancer, duration),
+        7 => CarriedFault::IsolateAgent(agent, duration),
+        8 => CarriedFault::Loss(random.random_range(0.0..MAX_LOSS_PROBABILITY), duration),
+        9 => CarriedFault::StoreDown(duration),
         10 => CarriedFault::MoveRoute,
         11 => CarriedFault::ReplaceBackend(agent),
-        12 => CarriedFault::RefuseBalancers(lasts),
-        14 => CarriedFault::PowerOff(lasts / 4),
+        12 => CarriedFault::RefuseBalancers(duration),
+        14 => CarriedFault::PowerOff(duration / 4),
         13 => {
             let modes = [FailureMode::Fail, FailureMode::Refuse, FailureMode::Hang];
-            CarriedFault::FailBackend(agent, modes[random.random_range(0..modes.len())], lasts)
+            CarriedFault::FailBackend(agent, modes[random.random_range(0..modes.len())], duration)
         }
-        _ => CarriedFault::CrashBackend(agent, lasts),
+        _ => CarriedFault::CrashBackend(agent, duration),
     }
 }
--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 /// More, in bytes, no caller sends on one flow.
-const MOST_SENT: u32 = 65_536;
+const MAX_FLOW_BYTES: u32 = 65_536;
 
 impl CarriedWorld {
     pub(super) fn new_backend(&mut self, agent: usize) -> SimulatedBackend {
@@ -13,17 +13,17 @@
     }
 
     pub(super) fn schedule_heartbeat(&mut self, agent: usize, after: Duration) {
-        let start = self.backends[agent].start;
-        self.events.push(self.now + after, Event::BackendHeartbeat { agent, start });
+        let start_number = self.backends[agent].start_number;
+        self.events.push(self.now + after, Event::BackendHeartbeat { agent, start_number });
     }
 
-    pub(super) fn heartbeat(&mut self, agent: usize, start: u64) {
-        if self.backends[agent].start != start || !self.backends[agent].is_alive {
+    pub(super) fn heartbeat(&mut self, agent: usize, start_number: u64) {
+        if self.backends[agent].start_number != start_number || !self.backends[agent].is_alive {
             return;
         }
-        self.schedule_heartbeat(agent, HEARTBEAT);
+        self.schedule_heartbeat(agent, HEARTBEAT_INTERVAL);
         let node = self.settings.balancers + agent;
-        if self.thaw(node).is_some() {
+        if self.frozen_until(node).is_some() {
             return;
         }
         let own = self.nodes[node].own_time(self.now);
@@ -32,13 +32,14 @@
         let backend = &mut self.backends[agent];
         if backend.is_leaving && backend.leaving_since.is_none() {
             backend.leaving_since = Some(self.now);
-            self.events.push(self.now + LEAVES_AFTER, Event::BackendGone { agent, start });
+            self.events
+                .push(self.now + SHUTDOWN_DELAY, Event::BackendExited { agent, start_number });
         }
         self.settle(node);
     }
 
-    pub(super) fn backend_gone(&mut self, agent: usize, start: u64) {
-        if self.backends[agent].start != start {
+    pub(super) fn exit_backend(&mut self, agent: usize, start_number: u64) {
+        if self.backends[agent].start_number != start_number {
             return;
         }
         self.backends[agent].is_alive = false;
@@ -50,8 +51,8 @@
         self.schedule_heartbeat(agent, Duration::from_millis(20));
     }
 
-    pub(super) fn backend_well(&mut self, agent: usize, start: u64) {
-        if self.backends[agent].start == start {
+    pub(super) fn recover_backend(&mut self, agent: usize, start_number: u64) {
+        if self.backends[agent].start_number == start_number {
             self.backends[agent].failing = None;
         }
     }
@@ -60,73 +61,75 @@
         if !self.backends[agent].is_alive {
             return;
         }
-        self.outcome.changed_packets += u64::from(!self.sent.contains(packet));
+        self.outcome.changed_packets += u64::from(!self.sent_packets.contains(packet));
         let reaction = self.backends[agent].receive(packet);
-        if reaction.took_flow {
-            self.judge_taken(agent, packet);
+        if reaction.accepted_flow {
+            self.check_accepted_flow(agent, packet);
         }
         if reaction.has_flow {
-            self.note_holder(agent, packet);
+            self.note_owner(agent, packet);
         }
-        self.react(agent, reaction);
+        self.apply_reaction(agent, reaction);
     }
 
     /// A back end has shown that a flow is open there.
-    fn note_holder(&mut self, agent: usize, packet: &[u8]) {
+    fn note_owner(&mut self, agent: usize, packet: &[u8]) {
         let Ok(segment) = PlainFormat.parse(packet) else { return };
         let flow = segment.flow();
-        let first = self.first_numbers.get(&flow);
-        if first.is_some_and(|first| segment.sequence.wrapping_sub(*first) < MOST_SENT) {
-            self.holders.insert(flow, (agent, self.backends[agent].start));
+        let first = self.first_sequences.get(&flow);
+        if first.is_some_and(|first| segment.sequence.wrapping_sub(*first) < MAX_FLOW_BYTES) {
+            self.flow_owners.insert(flow, (agent, self.backends[agent].start_number));
         }
     }
 
     /// Holds a taken flow against the rules.
-    pub(super) fn judge_taken(&mut self, agent: usize, packet: &[u8]) {
+    pub(super) fn check_accepted_flow(&mut self, agent: usize, packet: &[u8]) {
         let Ok(segment) = PlainFormat.parse(packet) else { return };
         let flow = segment.flow();
         let backend = &self.backends[agent];
-        let is_late = backend.leaving_since.is_some_and(|since| self.now > since + BOUND);
+        let is_late =
+            backend.leaving_since.is_some_and(|since| self.now > since + PROPAGATION_BOUND);
         self.outcome.late_drains += u64::from(is_late);
         let zone = zone_name(self.settings.balancers + agent);
         let evacuated_at = self.evacuated_at.get(&zone);
-        let is_evacuated = evacuated_at.is_some_and(|at| self.now > *at + BOUND);
+        let is_evacuated = evacuated_at.is_some_and(|at| self.now > *at + PROPAGATION_BOUND);
         self.outcome.late_evacuations += u64::from(is_evacuated);
         let is_first = flow.service == service_address(0);
-        let is_foreign = is_first && backend.service != SERVICES[0];
-        self.outcome.foreign_runs += u64::from(is_foreign);
+        let is_wrong_service = is_first && backend.service != SERVICES[0];
+        self.outcome.wrong_service_runs += u64::from(is_wrong_service);
         let route = self.store.wanted().routes.iter().find(|route| route.address == flow.service);
-        let is_old = route.is_none_or(|route| route.targets[0].service != backend.service);
-        let is_settled = self.now > self.changed_at + BOUND;
-        self.outcome.stale_configurations += u64::from(is_old && is_settled && !is_foreign);
+        let is_stale = route.is_none_or(|route| route.targets[0].service != backend.service);
+        let bound_passed = self.now > self.changed_at + PROPAGATION_BOUND;
+        self.outcome.stale_configurations +=
+            u64::from(is_stale && bound_passed && !is_wrong_service);
     }
 
-    pub(super) fn react(&mut self, agent: usize, reaction: Reaction) {
+    pub(super) fn apply_reaction(&mut self, agent: usize, reaction: Reaction) {
         for packet in reaction.packets {
             let at = self.now + Duration::from_micros(20);
             self.events.push(at, Event::FromBackend { agent, packet });
         }
-        for flow in reaction.began {
+        for flow in reaction.started {
             let request = self.backends[agent].request(&flow).unwrap_or_default().to_vec();
-            let is_new = self.runs.insert((0, request));
-            self.outcome.doubled_runs += u64::from(!is_new);
-            let start = self.backends[agent].start;
+            let is_new = self.request_runs.insert((0, request));
+            self.outcome.duplicate_runs += u64::from(!is_new);
+            let start_number = self.backends[agent].start_number;
             let work = self.settings.work.mul_f64(self.random.random_range(0.5..1.5));
-            self.events.push(self.now + work, Event::Worked { agent, start, flow });
+            self.events.push(self.now + work, Event::WorkFinished { agent, start_number, flow });
         }
     }
 
-    pub(super) fn worked(&mut self, agent: usize, start: u64, flow: FlowKey) {
-        if self.backends[agent].start == start && self.backends[agent].is_alive {
+    pub(super) fn finish_work(&mut self, agent: usize, start_number: u64, flow: FlowKey) {
+        if self.backends[agent].start_number == start_number && self.backends[agent].is_alive {
             let reaction = self.backends[agent].finish(&flow);
-            self.react(agent, reaction);
+            self.apply_reaction(agent, reaction);
         }
     }
 
-    pub(super) fn take_from_backend(&mut self, agent: usize, packet: Vec<u8>) {
+    pub(super) fn deliver_from_backend(&mut self, agent: usize, packet: Vec<u8>) {
         let node = self.settings.balancers + agent;
-        if let Some(thaw) = self.thaw(node) {
-            return self.defer(node, thaw, Event::FromBackend { agent, packet });
+        if let Some(frozen_until) = self.frozen_until(node) {
+            return self.defer(node, frozen_until, Event::FromBackend { agent, packet });
         }
         let own = self.nodes[node].own_time(self.now);
         if let Some(core) = self.nodes[node].agent() {
@@ -136,13 +139,13 @@
     }
 
     /// An agent's attempt to connect to its back end.
-    pub(super) fn probed(&mut self, agent: usize, starts: u64) {
+    pub(super) fn finish_backend_probe(&mut self, agent: usize, incarnation: u64) {
         let node = self.settings.balancers + agent;
-        if self.nodes[node].starts != starts {
+        if self.nodes[node].incarnation != incarnation {
             return;
         }
-        if let Some(thaw) = self.thaw(node) {
-            return self.events.push(thaw, Event::Probed { agent, starts });
+        if let Some(frozen_until) = self.frozen_until(node) {
+            return self.events.push(frozen_until, Event::BackendProbed { agent, incarnation });
         }
         let outcome = match self.backends[agent].is_alive {
             true => ProbeOutcome::NotRefused,
--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 /// Addresses of callers, all told; more than callers at any moment.
-const PORTS: u32 = 4_096;
+const CALLER_PORTS: u32 = 4_096;
 
 impl CarriedWorld {
-    pub(super) fn ask(&mut self) {
+    pub(super) fn start_request(&mut self) {
         let pause = 1_000_000 / self.settings.requests_per_second.max(1);
         let jitter = self.random.random_range(pause / 2..=pause * 3 / 2);
-        if self.now + QUIET_END < self.settings.lasts {
-            self.events.push(self.now + Duration::from_micros(jitter), Event::Ask);
+        if self.now + FINAL_QUIET_PERIOD < self.settings.duration {
+            self.events.push(self.now + Duration::from_micros(jitter), Event::NewRequest);
         } else {
             return;
         }
@@ -18,18 +18,18 @@
         let number = self.outcome.requests;
         let address = self.next_address();
         let service = service_address(usize::from(self.random.random_range(0..4) == 0));
-        self.by_address.insert(address, number);
-        let every = self.settings.long_callers;
+        self.callers_by_address.insert(address, number);
+        let every = self.settings.long_flow_interval;
         let is_long = every > 0 && number.is_multiple_of(every);
-        let rounds = if is_long { ROUNDS } else { 1 };
-        self.callers.insert(number, Caller::new(self.now, number, address, service, rounds));
+        let request_count = if is_long { REQUESTS_PER_LONG_FLOW } else { 1 };
+        self.callers.insert(number, Caller::new(self.now, number, address, service, request_count));
         self.wake_caller(number);
     }
 
     /// Callers have few ports and use them again, once a flow is over.
     pub(super) fn next_address(&mut self) -> SocketAddrV4 {
         loop {
-            self.next_port = (self.next_port + 1) % PORTS;
+            self.next_port = (self.next_port + 1) % CALLER_PORTS;
             let host = Ipv4Addr::new(100, 64, 0, (self.next_port / 512) as u8);
             let address = SocketAddrV4::new(host, 1_024 + (self.next_port % 512) as u16);
             if !self.is_in_use(&address) {
@@ -39,7 +39,7 @@
     }
 
     fn is_in_use(&self, address: &SocketAddrV4) -> bool {
-        let number = self.by_address.get(address);
+        let number = self.callers_by_address.get(address);
         let caller = number.and_then(|number| self.callers.get(number));
         caller.is_some_and(|caller| caller.address == *address && !caller.is_over())
     }
@@ -48,16 +48,16 @@
         let now = self.now;
         let Some(caller) = self.callers.get_mut(&number) else { return };
         let step = caller.wake(now);
-        self.carry_out(number, step);
+        self.apply_step(number, step);
     }
 
-    pub(super) fn carry_out(&mut self, number: u64, step: CallerStep) {
-        self.outcome.mixed_answers += u64::from(step.was_mixed);
+    pub(super) fn apply_step(&mut self, number: u64, step: CallerStep) {
+        self.outcome.mismatched_answers += u64::from(step.wrong_answer);
         if let Some(at) = step.wake_at {
             self.events.push(at, Event::WakeCaller(number));
         }
         if let Some(packet) = step.packet {
-            self.sent.insert(packet.clone());
+            self.sent_packets.insert(packet.clone());
             self.route(packet);
         }
     }
@@ -68,27 +68,27 @@
         let flow = segment.flow();
         if segment.is_syn() && segment.acknowledgement == 0 {
             // The port's next flow: nobody holds it yet.
-            self.holders.remove(&flow);
-            self.first_numbers.insert(flow, segment.sequence);
+            self.flow_owners.remove(&flow);
+            self.first_sequences.insert(flow, segment.sequence);
         }
         let balancers = 0..self.settings.balancers;
-        let any_in = balancers.clone().any(|node| self.nodes[node].is_in);
-        let eligible = balancers.filter(|node| self.nodes[*node].is_in || !any_in);
+        let any_in = balancers.clone().any(|node| self.nodes[node].in_rotation);
+        let eligible = balancers.filter(|node| self.nodes[*node].in_rotation || !any_in);
         let weight = |node: &usize| {
             let mut hasher = DefaultHasher::new();
             (flow, node).hash(&mut hasher);
             hasher.finish()
         };
         let Some(node) = eligible.max_by_key(weight) else { return };
-        self.events.push(self.now + WAY, Event::ToBalancer { node, packet });
+        self.events.push(self.now + ONE_WAY_DELAY, Event::ToBalancer { node, packet });
     }
 
     pub(super) fn deliver_to_balancer(&mut self, node: usize, packet: Vec<u8>) {
-        if let Some(thaw) = self.thaw(node) {
-            return self.defer(node, thaw, Event::ToBalancer { node, packet });
+        if let Some(frozen_until) = self.frozen_until(node) {
+            return self.defer(node, frozen_until, Event::ToBalancer { node, packet });
         }
-        if self.is_weak(node) {
-            return self.queue_local(node, packet);
+        if self.is_slow(node) {
+            return self.queue_caller_packet(node, packet);
         }
         let own = self.nodes[node].own_time(self.now);
         if let Some(balancer) = self.nodes[node].balancer() {
@@ -99,7 +99,9 @@
 
     pub(super) fn deliver_to_caller(&mut self, packet: &[u8]) {
         let Ok(segment) = PlainFormat.parse(packet) else { return };
-        let Some(number) = self.by_address.get(&segment.destination).copied() else { return };
+        let Some(number) = self.callers_by_address.get(&segment.destination).copied() else {
+            return;
+        };
         let address = self.next_address();
         let now = self.now;
         let Some(caller) = self.callers.get_mut(&number) else { return };
@@ -111,36 +113,36 @@
         }
         let step = caller.receive(now, packet, address);
         if caller.address != before {
-            self.by_address.insert(address, number);
+            self.callers_by_address.insert(address, number);
         }
         // Simulated back ends send none: every reset is a node's.
-        if step.was_broken && self.holder_lives(&flow) {
+        if step.flow_reset && self.is_owner_alive(&flow) {
             self.outcome.broken_flows += 1;
         }
-        self.carry_out(number, step);
+        self.apply_step(number, step);
     }
 
-    pub(super) fn holder_lives(&self, flow: &FlowKey) -> bool {
-        self.holders.get(flow).is_some_and(|(agent, start)| {
+    pub(super) fn is_owner_alive(&self, flow: &FlowKey) -> bool {
+        self.flow_owners.get(flow).is_some_and(|(agent, start_number)| {
             let backend = &self.backends[*agent];
-            backend.start == *start && backend.is_alive
+            backend.start_number == *start_number && backend.is_alive
         })
     }
 
-    pub(super) fn probe(&mut self) {
-        self.events.push(self.now + PROBE_INTERVAL, Event::Probe);
+    pub(super) fn probe_balancers(&mut self) {
+        self.events.push(self.now + PROBE_INTERVAL, Event::ProbeBalancers);
         for node in 0..self.settings.balancers {
-            let is_frozen = self.thaw(node).is_some();
+            let is_frozen = self.frozen_until(node).is_some();
             let own = self.nodes[node].own_time(self.now);
             let process = &mut self.nodes[node];
             let is_ready = process.balancer().is_some_and(|balancer| balancer.is_ready(own));
             if is_ready && !is_frozen {
-                process.is_in = true;
+                process.in_rotation = true;
                 process.missed_probes = 0;
                 continue;
             }
             process.missed_probes += 1;
-            process.is_in &= process.missed_probes < MOST_MISSED_PROBES;
+            process.in_rotation &= process.missed_probes < MAX_MISSED_PROBES;
         }
     }
 }
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -21,42 +21,45 @@
                     self.crash(agent, down);
                 }
             }
-            CarriedFault::FreezeBalancer(node, lasts) => self.freeze(node, lasts),
-            CarriedFault::FreezeAgent(agent, lasts) => self.freeze(balancers + agent, lasts),
+            CarriedFault::FreezeBalancer(node, duration) => self.freeze(node, duration),
+            CarriedFault::FreezeAgent(agent, duration) => self.freeze(balancers + agent, duration),
             CarriedFault::StopBalancer(node) => {
                 if let Some(balancer) = self.nodes[node].balancer() {
                     balancer.start_draining();
-                    self.events.push(self.now + STOP_TAKES, Event::Start { node });
+                    self.events.push(self.now + STOP_DURATION, Event::Start { node });
                 }
             }
-            CarriedFault::CutBalancer(node, lasts) => self.cut(node, lasts),
-            CarriedFault::CutAgent(agent, lasts) => self.cut(balancers + agent, lasts),
-            CarriedFault::Loss(share, lasts) => {
+            CarriedFault::IsolateBalancer(node, duration) => self.isolate(node, duration),
+            CarriedFault::IsolateAgent(agent, duration) => {
+                self.isolate(balancers + agent, duration)
+            }
+            CarriedFault::Loss(share, duration) => {
                 self.loss = share;
-                self.events.push(self.now + lasts, Event::LossEnds);
+                self.events.push(self.now + duration, Event::EndLoss);
             }
-            CarriedFault::StoreDown(lasts) => self.take_store_away(lasts),
-            CarriedFault::StoreRestored(back) => {
-                self.take_store_away(back.away);
-                self.events.push(self.now + back.away, Event::StoreReturns(back));
+            CarriedFault::StoreDown(duration) => self.stop_store(duration),
+            CarriedFault::StoreRestored(restore) => {
+                self.stop_store(restore.outage);
+                self.events.push(self.now + restore.outage, Event::StoreRestored(restore));
             }
-            CarriedFault::RefuseBalancers(lasts) => {
-                let until = self.now + lasts;
+            CarriedFault::RefuseBalancers(duration) => {
+                let until = self.now + duration;
                 self.balancers_refused_until = self.balancers_refused_until.max(until);
             }
-            CarriedFault::HangWaits(lasts) => {
+            CarriedFault::HangWatches(duration) => {
                 for process in &mut self.nodes {
-                    process.wait_hangs_until = self.now + lasts;
+                    process.watch_hangs_until = self.now + duration;
                 }
             }
             CarriedFault::MoveRoute => self.move_route(),
             CarriedFault::Evacuate(zone) => self.evacuate(zone),
             CarriedFault::EndEvacuation(zone) => self.end_evacuation(zone),
             CarriedFault::ReplaceBackend(agent) => self.backends[agent].is_leaving = true,
-            CarriedFault::FailBackend(agent, mode, lasts) => {
+            CarriedFault::FailBackend(agent, mode, duration) => {
                 self.backends[agent].failing = Some(mode);
-                let start = self.backends[agent].start;
-                self.events.push(self.now + lasts, Event::BackendWell { agent, start });
+                let start_number = self.backends[agent].start_number;
+                self.events
+                    .push(self.now + duration, Event::BackendRecovered { agent, start_number });
             }
             CarriedFault::CrashBackend(agent, down) => self.crash(agent, down),
         }
@@ -75,21 +78,21 @@
         }
     }
 
-    pub(super) fn freeze(&mut self, node: usize, lasts: Duration) {
-        let until = self.now + lasts;
-        if self.thaw(node).is_none() {
+    pub(super) fn freeze(&mut self, node: usize, duration: Duration) {
+        let until = self.now + duration;
+        if self.frozen_until(node).is_none() {
             self.nodes[node].frozen_since = self.now;
         }
         self.nodes[node].frozen_until = self.nodes[node].frozen_until.max(until);
-        if lasts > STANDSTILL {
+        if duration > STALL_THRESHOLD {
             // Before everything that waits until then.
-            let starts = self.nodes[node].starts;
-            self.events.push(until, Event::Thaw { node, starts });
+            let incarnation = self.nodes[node].incarnation;
+            self.events.push(until, Event::Resume { node, incarnation });
         }
     }
 
-    pub(super) fn resume(&mut self, node: usize, starts: u64) {
-        if self.nodes[node].starts != starts || self.thaw(node).is_some() {
+    pub(super) fn resume(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation != incarnation || self.frozen_until(node).is_some() {
             return;
         }
         let own = self.nodes[node].own_time(self.now);
@@ -101,45 +104,45 @@
         self.settle(node);
     }
 
-    pub(super) fn cut(&mut self, node: usize, lasts: Duration) {
-        self.nodes[node].cut_until = self.nodes[node].cut_until.max(self.now + lasts);
+    pub(super) fn isolate(&mut self, node: usize, duration: Duration) {
+        self.nodes[node].isolated_until = self.nodes[node].isolated_until.max(self.now + duration);
     }
 
-    fn take_store_away(&mut self, lasts: Duration) {
-        self.store_down_until = self.store_down_until.max(self.now + lasts);
-        self.restart_bounds(self.store_down_until);
+    fn stop_store(&mut self, duration: Duration) {
+        self.store_down_until = self.store_down_until.max(self.now + duration);
+        self.postpone_bounds(self.store_down_until);
     }
 
     /// A change that not every node has seen by now is in force a bound after `from`.
-    fn restart_bounds(&mut self, from: Duration) {
-        if self.now < self.changed_at + BOUND {
+    fn postpone_bounds(&mut self, from: Duration) {
+        if self.now < self.changed_at + PROPAGATION_BOUND {
             self.changed_at = self.changed_at.max(from);
         }
-        for at in self.evacuated_at.values_mut().filter(|at| self.now < **at + BOUND) {
+        for at in self.evacuated_at.values_mut().filter(|at| self.now < **at + PROPAGATION_BOUND) {
             *at = (*at).max(from);
         }
     }
 
     /// The store is back, from a copy; its operators notice later.
-    pub(super) fn store_returns(&mut self, back: StoreRestore) {
-        self.store.come_back(self.now, back.copy_age);
-        self.restart_bounds(self.now + back.operator_after);
+    pub(super) fn restore_store(&mut self, restore: StoreRestore) {
+        self.store.restore(self.now, restore.backup_age);
+        self.postpone_bounds(self.now + restore.rewrite_delay);
         self.restored_at = self.now;
-        self.events.push(self.now + back.operator_after, Event::OperatorsWriteAgain);
+        self.events.push(self.now + restore.rewrite_delay, Event::OperatorsRewrite);
     }
 
     /// Operators write again what the store has lost. What no running process knew of begins anew.
-    pub(super) fn write_again(&mut self) {
-        if !self.store.is_behind() {
+    pub(super) fn rewrite_lost(&mut self) {
+        if !self.store.has_lost_writes() {
             return;
         }
-        self.store.write_again(self.now);
+        self.store.rewrite_lost(self.now);
         self.written_at = self.now;
-        if self.nobody_remembers() {
+        if self.no_process_survived() {
             self.changed_at = self.now;
         }
         // What was not written again in time counts as gone.
-        if self.now > self.restored_at + LAPSE {
+        if self.now > self.restored_at + REWRITE_TIMEOUT {
             for at in self.evacuated_at.values_mut() {
                 *at = self.now;
             }
@@ -147,9 +150,9 @@
     }
 
     /// Whether no process runs that did before the store's return.
-    fn nobody_remembers(&self) -> bool {
-        let runs_on = |node: &Process| node.core.is_some() && node.started < self.restored_at;
-        !self.nodes.iter().any(runs_on)
+    fn no_process_survived(&self) -> bool {
+        let survived = |node: &Process| node.core.is_some() && node.started < self.restored_at;
+        !self.nodes.iter().any(survived)
     }
 
     /// The operator writes; while the store is down nobody does.
@@ -161,13 +164,14 @@
         let next = if current == SERVICES[0] { SERVICES[1] } else { SERVICES[0] };
         self.store.write_routes(self.now, configuration(next));
         self.written_at = self.now;
-        self.changed_at = self.bound_runs_from();
+        self.changed_at = self.bound_start();
     }
 
     /// The bound for what is written now does not run while any node may be away from the store.
-    fn bound_runs_from(&self) -> Duration {
-        let troubled = self.nodes.iter().map(|node| node.cut_until.max(node.frozen_until)).max();
-        self.now.max(troubled.unwrap_or_default()).max(self.store_down_until)
+    fn bound_start(&self) -> Duration {
+        let unreachable_until =
+            self.nodes.iter().map(|node| node.isolated_until.max(node.frozen_until)).max();
+        self.now.max(unreachable_until.unwrap_or_default()).max(self.store_down_until)
     }
 
     fn evacuate(&mut self, zone: usize) {
@@ -175,7 +179,7 @@
             && self.store.write_zone(self.now, zone_name(zone), true)
         {
             self.written_at = self.now;
-            self.evacuated_at.insert(zone_name(zone), self.bound_runs_from());
+            self.evacuated_at.insert(zone_name(zone), self.bound_start());
         }
     }
 
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -9,7 +9,7 @@
 
 pub(super) use self::processor::Inbox;
 use self::store::Store;
-use super::backend::{LEAVES_AFTER, Reaction, SimulatedBackend};
+use super::backend::{Reaction, SHUTDOWN_DELAY, SimulatedBackend};
 use super::caller::{Caller, CallerState, CallerStep};
 use super::fault::{CarriedFault, StoreRestore, TimedFault};
 use super::outcome::CarriedOutcome;
@@ -29,33 +29,33 @@
 use std::time::Duration;
 
 const PEER_PORT: u16 = 7_720;
-const WAY: Duration = Duration::from_micros(500);
-const JITTER_US: u64 = 300;
+const ONE_WAY_DELAY: Duration = Duration::from_micros(500);
+const MAX_JITTER_US: u64 = 300;
 /// Timers fire at least so late.
-const TIMER_STEP: Duration = Duration::from_micros(100);
-const STORE_WAY: Duration = Duration::from_millis(8);
-const STORE_LOOK: Duration = Duration::from_millis(500);
+const MIN_TIMER_DELAY: Duration = Duration::from_micros(100);
+const STORE_READ_DELAY: Duration = Duration::from_millis(8);
+const STORE_POLL_INTERVAL: Duration = Duration::from_millis(500);
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two looks at which configuration each node has.
-const VERSIONS_INTERVAL: Duration = Duration::from_millis(50);
-const MOST_MISSED_PROBES: u32 = 2;
-const HEARTBEAT: Duration = Duration::from_millis(1_100);
+const VERSION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_MISSED_PROBES: u32 = 2;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_100);
 /// A configuration is in force, and a back end that leaves takes nothing new, after so long.
-const BOUND: Duration = Duration::from_secs(3);
+const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
 /// What operators have not written again so long after the store's return is gone.
-const LAPSE: Duration = Duration::from_secs(2);
+const REWRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A planned stop takes so long: the router has turned away by then.
-const STOP_TAKES: Duration = Duration::from_millis(1_600);
+const STOP_DURATION: Duration = Duration::from_millis(1_600);
 /// A process that was frozen for longer notices.
-const STANDSTILL: Duration = Duration::from_secs(1);
-const LONGEST_FLOW: Duration = Duration::from_secs(60);
-const AIM_MS: u32 = 200;
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
+const MAX_FLOW_AGE: Duration = Duration::from_secs(60);
+const TARGET_LATENCY_MS: u32 = 200;
 const ZONES: usize = 3;
 const SERVICES: [&str; 2] = ["tiles", "sheets"];
 /// Requests of a caller that keeps its flow.
-const ROUNDS: u32 = 4;
+const REQUESTS_PER_LONG_FLOW: u32 = 4;
 /// Callers ask until this long before the end, so that every request comes to its end.
-const QUIET_END: Duration = Duration::from_secs(12);
+const FINAL_QUIET_PERIOD: Duration = Duration::from_secs(12);
 
 /// Sizes of a simulated system.
 #[derive(Clone, Copy, Debug)]
@@ -71,15 +71,15 @@
     /// Time a request takes.
     pub work: Duration,
     /// Each caller with a number that this divides keeps its flow for several requests; 0: none.
-    pub long_callers: u64,
+    pub long_flow_interval: u64,
     /// Length of the day.
-    pub lasts: Duration,
+    pub duration: Duration,
     /// Seed of everything left to chance.
     pub seed: u64,
     /// Balancers with little processor: the first so many.
     pub slow_balancers: usize,
     /// Time that such a balancer takes for a datagram or a service of its timers.
-    pub weak_cost: Duration,
+    pub slow_input_time: Duration,
     /// Which mechanisms are on.
     pub policies: Policies,
 }
@@ -92,18 +92,18 @@
             slots: 4,
             requests_per_second: 200,
             work: Duration::from_millis(30),
-            long_callers: 4,
-            lasts: Duration::from_secs(29),
+            long_flow_interval: 4,
+            duration: Duration::from_secs(29),
             seed: 1,
             slow_balancers: 0,
-            weak_cost: Duration::from_millis(1),
+            slow_input_time: Duration::from_millis(1),
             policies: Policies::default(),
         }
     }
 }
 
 enum Event {
-    Ask,
+    NewRequest,
     WakeCaller(u64),
     ToBalancer {
         node: usize,
@@ -112,14 +112,14 @@
     ToCaller {
         packet: Vec<u8>,
     },
-    Peer {
+    PeerDatagram {
         from: SocketAddrV4,
         to: SocketAddrV4,
         datagram: Vec<u8>,
     },
     WakeNode {
         node: usize,
-        starts: u64,
+        incarnation: u64,
     },
     ToBackend {
         agent: usize,
@@ -129,67 +129,67 @@
         agent: usize,
         packet: Vec<u8>,
     },
-    Worked {
+    WorkFinished {
         agent: usize,
-        start: u64,
+        start_number: u64,
         flow: FlowKey,
     },
     BackendHeartbeat {
         agent: usize,
-        start: u64,
+        start_number: u64,
     },
-    BackendGone {
+    BackendExited {
         agent: usize,
-        start: u64,
+        start_number: u64,
     },
     StartBackend {
         agent: usize,
     },
-    BackendWell {
+    BackendRecovered {
         agent: usize,
-        start: u64,
+        start_number: u64,
     },
-    Probe,
-    LookAtVersions,
-    StoreReturns(StoreRestore),
-    OperatorsWriteAgain,
-    StoreLook {
+    ProbeBalancers,
+    CheckVersions,
+    StoreRestored(StoreRestore),
+    OperatorsRewrite,
+    PollStore {
         node: usize,
-        starts: u64,
+        incarnation: u64,
     },
     /// A node with little processor has its turn.
-    Turn {
+    ProcessorTurn {
         node: usize,
-        starts: u64,
+        incarnation: u64,
     },
-    Thaw {
+    Resume {
         node: usize,
-        starts: u64,
+        incarnation: u64,
     },
     ReadStore {
         node: usize,
-        starts: u64,
+        incarnation: u64,
     },
-    GiveSnapshot {
+    DeliverSnapshot {
         from: usize,
         to: usize,
-        starts: u64,
+        incarnation: u64,
     },
-    Probed {
+    BackendProbed {
         agent: usize,
-        starts: u64,
+        incarnation: u64,
     },
     /// What waited in a frozen node's sockets; lost where the process ends meanwhile.
-    Thawed {
+    Deferred {
         node: usize,
-        starts: u64,
+        incarnation: u64,
         event: Box<Event>,
     },
     Start {
         node: usize,
     },
     Fault(CarriedFault),
-    LossEnds,
+    EndLoss,
 }
 
 /// A simulated system with its callers. Nodes are numbered balancers first, then agents.
@@ -201,7 +201,7 @@
     nodes: Vec<Process>,
     backends: Vec<SimulatedBackend>,
     callers: HashMap<u64, Caller>,
-    by_address: HashMap<SocketAddrV4, u64>,
+    callers_by_address: HashMap<SocketAddrV4, u64>,
     nodes_by_address: HashMap<SocketAddrV4, usize>,
     next_port: u32,
     store: Store,
@@ -217,11 +217,11 @@
     loss: f64,
     backend_starts: u64,
     /// Which back end's start holds a flow, for the verdict on a reset.
-    holders: HashMap<FlowKey, (usize, u64)>,
+    flow_owners: HashMap<FlowKey, (usize, u64)>,
     /// The first number of each port's latest flow, which tells its packets from late ones.
-    first_numbers: HashMap<FlowKey, u32>,
-    runs: HashSet<(u64, Vec<u8>)>,
-    sent: HashSet<Vec<u8>>,
+    first_sequences: HashMap<FlowKey, u32>,
+    request_runs: HashSet<(u64, Vec<u8>)>,
+    sent_packets: HashSet<Vec<u8>>,
     outcome: CarriedOutcome,
 }
 
@@ -239,7 +239,7 @@
             nodes,
             backends: Vec::new(),
             callers: HashMap::new(),
-            by_address: HashMap::new(),
+            callers_by_address: HashMap::new(),
             nodes_by_address: (0..count).map(|node| (address(node), node)).collect(),
             next_port: 1_024,
             store: Store::new(configuration(SERVICES[1])),
@@ -251,10 +251,10 @@
             balancers_refused_until: Duration::ZERO,
             loss: 0.0,
             backend_starts: 0,
-            holders: HashMap::new(),
-            first_numbers: HashMap::new(),
-            runs: HashSet::new(),
-            sent: HashSet::new(),
+            flow_owners: HashMap::new(),
+            first_sequences: HashMap::new(),
+            request_runs: HashSet::new(),
+            sent_packets: HashSet::new(),
             outcome: CarriedOutcome::default(),
         };
         for agent in 0..settings.backends {
@@ -265,9 +265,9 @@
         for node in 0..count {
             world.events.push(Duration::ZERO, Event::Start { node });
         }
-        world.events.push(PROBE_INTERVAL, Event::Probe);
-        world.events.push(VERSIONS_INTERVAL, Event::LookAtVersions);
-        world.events.push(Duration::from_secs(1), Event::Ask);
+        world.events.push(PROBE_INTERVAL, Event::ProbeBalancers);
+        world.events.push(VERSION_CHECK_INTERVAL, Event::CheckVersions);
+        world.events.push(Duration::from_secs(1), Event::NewRequest);
         for timed in faults {
             world.events.push(timed.at, Event::Fault(timed.fault));
         }
@@ -276,7 +276,7 @@
 
     /// Plays the day to its end.
     pub fn run(mut self) -> CarriedOutcome {
-        while let Some((at, event)) = self.events.pop_until(self.settings.lasts) {
+        while let Some((at, event)) = self.events.pop_until(self.settings.duration) {
             self.now = at;
             self.handle(event);
         }
@@ -298,41 +298,49 @@
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Ask => self.ask(),
+            Event::NewRequest => self.start_request(),
             Event::WakeCaller(number) => self.wake_caller(number),
             Event::ToBalancer { node, packet } => self.deliver_to_balancer(node, packet),
             Event::ToCaller { packet } => self.deliver_to_caller(&packet),
-            Event::Peer { from, to, datagram } => self.peer(from, to, datagram),
-            Event::WakeNode { node, starts } => self.wake_node(node, starts),
+            Event::PeerDatagram { from, to, datagram } => self.deliver_to_peer(from, to, datagram),
+            Event::WakeNode { node, incarnation } => self.wake_node(node, incarnation),
             Event::ToBackend { agent, packet } => self.deliver_to_backend(agent, &packet),
-            Event::FromBackend { agent, packet } => self.take_from_backend(agent, packet),
-            Event::Worked { agent, start, flow } => self.worked(agent, start, flow),
-            Event::BackendHeartbeat { agent, start } => self.heartbeat(agent, start),
-            Event::BackendGone { agent, start } => self.backend_gone(agent, start),
+            Event::FromBackend { agent, packet } => self.deliver_from_backend(agent, packet),
+            Event::WorkFinished { agent, start_number, flow } => {
+                self.finish_work(agent, start_number, flow)
+            }
+            Event::BackendHeartbeat { agent, start_number } => self.heartbeat(agent, start_number),
+            Event::BackendExited { agent, start_number } => self.exit_backend(agent, start_number),
             Event::StartBackend { agent } => self.start_backend(agent),
-            Event::BackendWell { agent, start } => self.backend_well(agent, start),
-            Event::Probe => self.probe(),
-            Event::LookAtVersions => self.look_at_versions(),
-            Event::StoreReturns(back) => self.store_returns(back),
-            Event::OperatorsWriteAgain => self.write_again(),
-            Event::StoreLook { node, starts } => self.store_look(node, starts),
-            Event::Turn { node, starts } => self.turn(node, starts),
-            Event::Thaw { node, starts } => self.resume(node, starts),
-            Event::ReadStore { node, starts } => self.read_store(node, starts),
-            Event::GiveSnapshot { from, to, starts } => self.give_snapshot(from, to, starts),
-            Event::Probed { agent, starts } => self.probed(agent, starts),
-            Event::Thawed { node, starts, event } => {
-                if self.nodes[node].starts == starts && self.nodes[node].core.is_some() {
+            Event::BackendRecovered { agent, start_number } => {
+                self.recover_backend(agent, start_number)
+            }
+            Event::ProbeBalancers => self.probe_balancers(),
+            Event::CheckVersions => self.check_versions(),
+            Event::StoreRestored(restore) => self.restore_store(restore),
+            Event::OperatorsRewrite => self.rewrite_lost(),
+            Event::PollStore { node, incarnation } => self.poll_store(node, incarnation),
+            Event::ProcessorTurn { node, incarnation } => self.run_turn(node, incarnation),
+            Event::Resume { node, incarnation } => self.resume(node, incarnation),
+            Event::ReadStore { node, incarnation } => self.read_store(node, incarnation),
+            Event::DeliverSnapshot { from, to, incarnation } => {
+                self.deliver_snapshot(from, to, incarnation)
+            }
+            Event::BackendProbed { agent, incarnation } => {
+                self.finish_backend_probe(agent, incarnation)
+            }
+            Event::Deferred { node, incarnation, event } => {
+                if self.nodes[node].incarnation == incarnation && self.nodes[node].core.is_some() {
                     let since = self.nodes[node].frozen_since;
-                    self.note_waited(node, self.now - since);
-                    self.nodes[node].inbox.note_waits_since(since);
+                    self.note_input_age(node, self.now - since);
+                    self.nodes[node].inbox.note_waiting_since(since);
                     self.handle(*event);
-                    self.note_waited(node, Duration::ZERO);
+                    self.note_input_age(node, Duration::ZERO);
                 }
             }
-            Event::Start { node } => self.start(node),
+            Event::Start { node } => self.start_node(node),
             Event::Fault(fault) => self.fault(fault),
-            Event::LossEnds => self.loss = 0.0,
+            Event::EndLoss => self.loss = 0.0,
         }
     }
 }
@@ -356,7 +364,7 @@
     let route = |number: usize, service: &str| Route {
         address: service_address(number),
         targets: vec![RouteTarget { service: service.to_owned(), weight: 1 }],
-        target_latency_ms: AIM_MS,
+        target_latency_ms: TARGET_LATENCY_MS,
         priority: 1,
         regions: Vec::new(),
     };
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -4,54 +4,59 @@
 use super::*;
 
 /// Datagrams taken from one socket before the other one has its turn, as in the shell.
-const DATAGRAMS_A_TURN: usize = 32;
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
 /// Datagrams of nodes taken before timers are served, as in the shell.
-const MOST_BEFORE_TIMERS: usize = 512;
+const MAX_PEER_DATAGRAMS_BEFORE_TIMERS: usize = 512;
 /// Datagrams that a socket holds; what comes then is lost. A socket of 1 MB holds about as many.
-const SOCKET_HOLDS: usize = 1_024;
+const SOCKET_CAPACITY_DATAGRAMS: usize = 1_024;
 
 /// What waits for a weak node's processor.
 #[derive(Default)]
 pub(in crate::carried) struct Inbox {
-    peers: VecDeque<(SocketAddrV4, Vec<u8>)>,
-    local: VecDeque<Vec<u8>>,
-    local_age: InputAge,
+    peer_datagrams: VecDeque<(SocketAddrV4, Vec<u8>)>,
+    caller_packets: VecDeque<Vec<u8>>,
+    input_age: InputAge,
     /// A turn is scheduled; there is never more than one.
-    awaits_turn: bool,
+    is_turn_scheduled: bool,
     busy_until: Duration,
 }
 
 impl Inbox {
     /// What comes now has waited since then.
-    pub(super) fn note_waits_since(&mut self, since: Duration) {
-        self.local_age.note_pause(since);
+    pub(super) fn note_waiting_since(&mut self, since: Duration) {
+        self.input_age.note_pause(since);
     }
 
     fn is_empty(&self) -> bool {
-        self.peers.is_empty() && self.local.is_empty()
+        self.peer_datagrams.is_empty() && self.caller_packets.is_empty()
     }
 }
 
 impl CarriedWorld {
     /// Whether a node has little processor.
-    pub(super) fn is_weak(&self, node: usize) -> bool {
+    pub(super) fn is_slow(&self, node: usize) -> bool {
         node < self.settings.slow_balancers
     }
 
     /// A message of a node waits in a weak node's socket.
-    pub(super) fn queue_peer(&mut self, node: usize, from: SocketAddrV4, datagram: Vec<u8>) {
-        let peers = &mut self.nodes[node].inbox.peers;
-        if peers.len() < SOCKET_HOLDS {
-            peers.push_back((from, datagram));
+    pub(super) fn queue_peer_datagram(
+        &mut self,
+        node: usize,
+        from: SocketAddrV4,
+        datagram: Vec<u8>,
+    ) {
+        let peer_datagrams = &mut self.nodes[node].inbox.peer_datagrams;
+        if peer_datagrams.len() < SOCKET_CAPACITY_DATAGRAMS {
+            peer_datagrams.push_back((from, datagram));
         }
         self.request_turn(node);
     }
 
     /// A packet of a caller waits in a weak node's socket.
-    pub(super) fn queue_local(&mut self, node: usize, packet: Vec<u8>) {
-        let local = &mut self.nodes[node].inbox.local;
-        if local.len() < SOCKET_HOLDS {
-            local.push_back(packet);
+    pub(super) fn queue_caller_packet(&mut self, node: usize, packet: Vec<u8>) {
+        let caller_packets = &mut self.nodes[node].inbox.caller_packets;
+        if caller_packets.len() < SOCKET_CAPACITY_DATAGRAMS {
+            caller_packets.push_back(packet);
         }
         self.request_turn(node);
     }
@@ -59,32 +64,32 @@
     /// Has a weak node take its turn once its processor is free.
     pub(super) fn request_turn(&mut self, node: usize) {
         let process = &mut self.nodes[node];
-        if std::mem::replace(&mut process.inbox.awaits_turn, true) {
+        if std::mem::replace(&mut process.inbox.is_turn_scheduled, true) {
             return;
         }
-        let (at, starts) = (self.now.max(process.inbox.busy_until), process.starts);
-        self.events.push(at, Event::Turn { node, starts });
+        let (at, incarnation) = (self.now.max(process.inbox.busy_until), process.incarnation);
+        self.events.push(at, Event::ProcessorTurn { node, incarnation });
     }
 
     /// One turn of a weak node's shell.
-    pub(super) fn turn(&mut self, node: usize, starts: u64) {
-        if self.nodes[node].starts != starts || self.nodes[node].core.is_none() {
+    pub(super) fn run_turn(&mut self, node: usize, incarnation: u64) {
+        if self.nodes[node].incarnation != incarnation || self.nodes[node].core.is_none() {
             return;
         }
-        self.nodes[node].inbox.awaits_turn = false;
-        let began = self.now;
-        self.take_peers(node, DATAGRAMS_A_TURN);
-        self.take_local(node);
+        self.nodes[node].inbox.is_turn_scheduled = false;
+        let started = self.now;
+        self.process_peers(node, MAX_DATAGRAMS_PER_TURN);
+        self.process_callers(node);
         if self.is_timer_due(node) {
-            self.take_peers(node, MOST_BEFORE_TIMERS);
+            self.process_peers(node, MAX_PEER_DATAGRAMS_BEFORE_TIMERS);
         }
         if self.is_timer_due(node) {
-            self.now += self.settings.weak_cost;
+            self.now += self.settings.slow_input_time;
             self.nodes[node].handle_timeout(self.now);
             self.settle(node);
         }
         self.nodes[node].inbox.busy_until = self.now;
-        self.now = began;
+        self.now = started;
         if !self.nodes[node].inbox.is_empty() {
             self.request_turn(node);
         }
@@ -95,29 +100,31 @@
     }
 
     /// Takes some messages of nodes, each when the one before it is done.
-    fn take_peers(&mut self, node: usize, most: usize) {
-        for _ in 0..most {
-            let Some((from, datagram)) = self.nodes[node].inbox.peers.pop_front() else { return };
-            self.now += self.settings.weak_cost;
+    fn process_peers(&mut self, node: usize, max_datagrams: usize) {
+        for _ in 0..max_datagrams {
+            let Some((from, datagram)) = self.nodes[node].inbox.peer_datagrams.pop_front() else {
+                return;
+            };
+            self.now += self.settings.slow_input_time;
             self.nodes[node].handle_peer(self.now, from, &datagram);
             self.settle(node);
         }
     }
 
-    fn take_local(&mut self, node: usize) {
-        let began = self.now;
-        self.note_waited(node, self.nodes[node].inbox.local_age.max_wait(began));
-        for _ in 0..DATAGRAMS_A_TURN {
-            let Some(packet) = self.nodes[node].inbox.local.pop_front() else {
-                return self.nodes[node].inbox.local_age.note_batch(began, true);
+    fn process_callers(&mut self, node: usize) {
+        let started = self.now;
+        self.note_input_age(node, self.nodes[node].inbox.input_age.max_wait(started));
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+            let Some(packet) = self.nodes[node].inbox.caller_packets.pop_front() else {
+                return self.nodes[node].inbox.input_age.note_batch(started, true);
             };
-            self.now += self.settings.weak_cost;
+            self.now += self.settings.slow_input_time;
             let own = self.nodes[node].own_time(self.now);
             if let Some(balancer) = self.nodes[node].balancer() {
                 balancer.handle_caller(own, &packet);
             }
             self.settle(node);
         }
-        self.nodes[node].inbox.local_age.note_batch(began, false);
+        self.nodes[node].inbox.input_age.note_batch(started, false);
     }
 }
--- a/crates/lab/tests/carried.rs
+++ b/crates/lab/tests/carried.rs
@@ -7,10 +7,10 @@
     CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, FailureMode, TimedFault,
     random_faults,
 };
-use support::carried_runs::{assert_kept, play};
+use support::carried_runs::{assert_no_violations, run_with_faults};
 use support::seconds;
 
-const RANDOM_DAYS: u64 = 150;
+const RANDOM_RUNS: u64 = 150;
 /// Seeds of random days that once broke a rule: knowledge of a port's earlier flow was used for its
 /// next one (337, 1560, 3010, 4616); a balancer that started or was connected later than the rest
 /// took who was not heard for gone (240, 2125, 4109); a good-bye from before a standstill was
@@ -21,42 +21,42 @@
 
 #[test]
 fn a_calm_day_serves_everything() {
-    let outcome = play(&[]);
+    let outcome = run_with_faults(&[]);
     assert_eq!(outcome.served, outcome.requests, "{outcome:?}");
     assert!(outcome.requests > 2_500, "{outcome:?}");
-    assert_kept(outcome, 1.0);
+    assert_no_violations(outcome, 1.0);
 }
 
 #[test]
 fn the_same_seed_gives_the_same_day() {
-    let day = [(3.0, Fault::KillAll(seconds(0.5))), (5.0, Fault::Loss(0.05, seconds(3.0)))];
-    assert_eq!(play(&day), play(&day));
+    let faults = [(3.0, Fault::KillAll(seconds(0.5))), (5.0, Fault::Loss(0.05, seconds(3.0)))];
+    assert_eq!(run_with_faults(&faults), run_with_faults(&faults));
 }
 
 #[test]
 fn planned_stops_of_all_balancers_in_turn_lose_nothing() {
     let stops: Vec<_> =
         (0..4).map(|node| (2.0 + 2.0 * node as f64, Fault::StopBalancer(node))).collect();
-    assert_kept(play(&stops), 1.0);
+    assert_no_violations(run_with_faults(&stops), 1.0);
 }
 
 #[test]
 fn replaced_back_ends_lose_nothing() {
     let leave: Vec<_> =
         (0..4).map(|agent| (2.0 + agent as f64, Fault::ReplaceBackend(agent))).collect();
-    assert_kept(play(&leave), 1.0);
+    assert_no_violations(run_with_faults(&leave), 1.0);
 }
 
 #[test]
 fn an_agent_that_is_killed_beside_its_back_end_forgets_no_open_flow() {
     let kills =
         [(3.0, Fault::KillAgent(0, seconds(0.1))), (6.0, Fault::KillAgent(1, seconds(0.1)))];
-    assert_kept(play(&kills), 0.995);
+    assert_no_violations(run_with_faults(&kills), 0.995);
 }
 
 #[test]
 fn with_the_store_away_balancers_that_start_learn_everything_from_agents() {
-    let day = [
+    let faults = [
         (3.0, Fault::MoveRoute),
         (4.0, Fault::StoreDown(seconds(8.0))),
         (5.0, Fault::KillBalancer(0, seconds(0.2))),
@@ -64,61 +64,61 @@
         (5.0, Fault::KillBalancer(2, seconds(0.2))),
         (5.0, Fault::KillBalancer(3, seconds(0.2))),
     ];
-    assert_kept(play(&day), 0.99);
+    assert_no_violations(run_with_faults(&faults), 0.99);
 }
 
 #[test]
 fn after_all_were_killed_everything_comes_back() {
-    assert_kept(play(&[(6.0, Fault::KillAll(seconds(0.3)))]), 0.95);
+    assert_no_violations(run_with_faults(&[(6.0, Fault::KillAll(seconds(0.3)))]), 0.95);
 }
 
 #[test]
 fn a_route_that_moves_while_nodes_freeze_is_followed_everywhere_in_time() {
-    let day = [
+    let faults = [
         (3.0, Fault::FreezeBalancer(0, seconds(3.0))),
         (3.5, Fault::MoveRoute),
         (3.6, Fault::FreezeAgent(2, seconds(2.0))),
-        (8.0, Fault::CutBalancer(1, seconds(3.0))),
+        (8.0, Fault::IsolateBalancer(1, seconds(3.0))),
         (8.5, Fault::MoveRoute),
     ];
-    assert_kept(play(&day), 0.9);
+    assert_no_violations(run_with_faults(&faults), 0.9);
 }
 
 #[test]
 fn back_ends_that_leave_during_a_cut_take_nothing_late() {
-    let day = [
-        (3.0, Fault::CutAgent(0, seconds(4.0))),
+    let faults = [
+        (3.0, Fault::IsolateAgent(0, seconds(4.0))),
         (3.2, Fault::ReplaceBackend(0)),
-        (4.0, Fault::CutBalancer(1, seconds(3.0))),
+        (4.0, Fault::IsolateBalancer(1, seconds(3.0))),
         (4.1, Fault::ReplaceBackend(1)),
         (4.2, Fault::KillAgent(1, seconds(0.2))),
     ];
-    assert_kept(play(&day), 0.9);
+    assert_no_violations(run_with_faults(&faults), 0.9);
 }
 
 #[test]
 fn lost_packets_break_no_flow() {
-    let day = [
+    let faults = [
         (2.0, Fault::Loss(0.1, seconds(8.0))),
         (4.0, Fault::StopBalancer(0)),
         (6.0, Fault::KillBalancer(1, seconds(0.5))),
         (7.0, Fault::ReplaceBackend(3)),
     ];
-    assert_kept(play(&day), 0.9);
+    assert_no_violations(run_with_faults(&faults), 0.9);
 }
 
 #[test]
 fn a_crashed_back_end_costs_what_it_held_and_no_more() {
-    assert_kept(play(&[(4.0, Fault::CrashBackend(0, seconds(4.0)))]), 0.99);
+    assert_no_violations(run_with_faults(&[(4.0, Fault::CrashBackend(0, seconds(4.0)))]), 0.99);
 }
 
 /// Days over which what a failing back end is given is taken together: one day has 7 to 27.
-const FAILING_DAYS: u64 = 16;
+const FAILING_RUNS: u64 = 16;
 
 #[test]
 fn back_ends_that_fail_what_they_are_asked_get_little_of_it() {
     for mode in [FailureMode::Fail, FailureMode::Refuse, FailureMode::Hang] {
-        let unserved: u64 = (1..=FAILING_DAYS)
+        let unserved: u64 = (1..=FAILING_RUNS)
             .map(|seed| {
                 let settings = CarriedWorldSettings { seed, ..CarriedWorldSettings::default() };
                 let fault = Fault::FailBackend(0, mode, seconds(8.0));
@@ -128,31 +128,31 @@
                 outcome.requests - outcome.served
             })
             .sum();
-        assert!(unserved <= 20 * FAILING_DAYS, "{mode:?}: {unserved} of {FAILING_DAYS} days");
+        assert!(unserved <= 20 * FAILING_RUNS, "{mode:?}: {unserved} of {FAILING_RUNS} days");
     }
 }
 
 #[test]
 fn where_all_back_ends_fail_callers_hear_so_and_all_is_well_soon_after() {
-    let day: Vec<_> = (0..9)
+    let faults: Vec<_> = (0..9)
         .map(|agent| (4.0, Fault::FailBackend(agent, FailureMode::Fail, seconds(3.0))))
         .collect();
-    assert_kept(play(&day), 0.75);
+    assert_no_violations(run_with_faults(&faults), 0.75);
 }
 
 #[test]
 fn a_configuration_comes_into_force_though_the_store_refuses_every_balancer() {
-    let day = [
+    let faults = [
         (3.0, Fault::RefuseBalancers(seconds(12.0))),
         (4.0, Fault::MoveRoute),
         (9.0, Fault::MoveRoute),
     ];
-    assert_kept(play(&day), 0.99);
+    assert_no_violations(run_with_faults(&faults), 0.99);
 }
 
 #[test]
 fn after_a_loss_of_all_power_callers_hear_that_their_flows_are_over() {
-    let outcome = play(&[(6.0, Fault::PowerOff(seconds(0.4)))]);
+    let outcome = run_with_faults(&[(6.0, Fault::PowerOff(seconds(0.4)))]);
     assert!(outcome.keeps_invariants(), "{outcome:?}");
     // Those that were under way and are not repeated; a caller that keeps its flow asks again.
     assert!(outcome.lost + outcome.refused <= 40, "{outcome:?}");
@@ -160,10 +160,10 @@
 
 #[test]
 fn a_back_end_that_crashed_loses_its_idle_flows_only_until_their_next_request() {
-    let day: Vec<_> = (0..4)
+    let faults: Vec<_> = (0..4)
         .map(|agent| (4.0 + agent as f64, Fault::CrashBackend(agent, seconds(2.0))))
         .collect();
-    let outcome = play(&day);
+    let outcome = run_with_faults(&faults);
     assert!(outcome.keeps_invariants(), "{outcome:?}");
     assert!(outcome.lost <= 30, "{outcome:?}");
 }
@@ -171,7 +171,8 @@
 #[test]
 fn flows_are_found_at_any_size_of_a_service() {
     for backends in [7, 35, 163] {
-        let settings = CarriedWorldSettings { backends, long_callers: 2, ..Default::default() };
+        let settings =
+            CarriedWorldSettings { backends, long_flow_interval: 2, ..Default::default() };
         // Each stop hands a quarter of the flows to balancers that have not carried them.
         let stops = (0..4).flat_map(|node| {
             let at = seconds(3.0 + 2.0 * node as f64);
@@ -180,14 +181,15 @@
         let faults: Vec<_> = stops.collect();
         let outcome = CarriedWorld::new(settings, &faults).run();
         assert_eq!(outcome.served, outcome.requests, "{backends}: {outcome:?}");
-        assert_kept(outcome, 1.0);
+        assert_no_violations(outcome, 1.0);
     }
 }
 
 #[test]
 fn flows_are_found_though_agents_and_balancers_are_killed_together() {
     for backends in [9, 35] {
-        let settings = CarriedWorldSettings { backends, long_callers: 2, ..Default::default() };
+        let settings =
+            CarriedWorldSettings { backends, long_flow_interval: 2, ..Default::default() };
         let mut faults = Vec::new();
         for agent in (0..backends).step_by(2) {
             faults.push(TimedFault {
@@ -199,21 +201,21 @@
             let fault = Fault::KillBalancer(node, seconds(0.2));
             faults.push(TimedFault { at: seconds(5.0), fault });
         }
-        assert_kept(CarriedWorld::new(settings, &faults).run(), 0.99);
+        assert_no_violations(CarriedWorld::new(settings, &faults).run(), 0.99);
     }
 }
 
 #[test]
 fn random_days_break_no_rule() {
-    play_random_days(1..=RANDOM_DAYS);
+    run_random_faults(1..=RANDOM_RUNS);
 }
 
 #[test]
 fn random_days_that_once_broke_a_rule_break_none() {
-    play_random_days(FAILED_SEEDS);
+    run_random_faults(FAILED_SEEDS);
 }
 
-fn play_random_days(seeds: impl IntoIterator<Item = u64>) {
+fn run_random_faults(seeds: impl IntoIterator<Item = u64>) {
     let settings = CarriedWorldSettings::default();
     for seed in seeds {
         let faults = random_faults(seed, settings.balancers, settings.backends);
--- a/crates/lab/tests/dissemination.rs
+++ b/crates/lab/tests/dissemination.rs
@@ -10,14 +10,14 @@
 const CHANGE_AT: Duration = Duration::from_secs(6);
 /// Nodes must have a change by then: a third of the shortest bound that users set for it (3 s); the rest is
 /// for links that are full, nodes that are refused and messages that are lost.
-const EVERYWHERE_WITHIN: Duration = Duration::from_secs(1);
+const MAX_PROPAGATION: Duration = Duration::from_secs(1);
 
-fn play(balancers: usize, backends: usize, seed: u64) -> CarriedOutcome {
-    play_after(&[], balancers, backends, seed)
+fn run_change(balancers: usize, backends: usize, seed: u64) -> CarriedOutcome {
+    run_after_faults(&[], balancers, backends, seed)
 }
 
 /// The change comes after these faults.
-fn play_after(
+fn run_after_faults(
     faults: &[TimedFault],
     balancers: usize,
     backends: usize,
@@ -27,7 +27,7 @@
         balancers,
         backends,
         requests_per_second: 100,
-        lasts: CHANGE_AT + Duration::from_secs(6),
+        duration: CHANGE_AT + Duration::from_secs(6),
         seed,
         ..CarriedWorldSettings::default()
     };
@@ -40,10 +40,10 @@
 #[test]
 fn a_change_is_everywhere_within_a_second_at_any_size() {
     for (balancers, backends) in [(10, 20), (100, 200)] {
-        let outcome = play(balancers, backends, 1);
+        let outcome = run_change(balancers, backends, 1);
         assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
-        let took = outcome.slowest_change;
-        assert!(took <= EVERYWHERE_WITHIN, "{balancers} balancers, {backends} agents: {took:?}");
+        let took = outcome.max_propagation;
+        assert!(took <= MAX_PROPAGATION, "{balancers} balancers, {backends} agents: {took:?}");
     }
 }
 
@@ -51,17 +51,20 @@
 #[test]
 fn a_change_after_the_store_has_gone_back_is_everywhere_within_a_second_at_any_size() {
     let at = |seconds: f64, fault| TimedFault { at: Duration::from_secs_f64(seconds), fault };
-    let back = StoreRestore {
-        copy_age: Duration::from_millis(1_500),
-        away: Duration::from_millis(100),
-        operator_after: Duration::from_millis(100),
+    let restore = StoreRestore {
+        backup_age: Duration::from_millis(1_500),
+        outage: Duration::from_millis(100),
+        rewrite_delay: Duration::from_millis(100),
     };
-    let faults =
-        [at(3.0, Fault::MoveRoute), at(4.0, Fault::MoveRoute), at(4.5, Fault::StoreRestored(back))];
+    let faults = [
+        at(3.0, Fault::MoveRoute),
+        at(4.0, Fault::MoveRoute),
+        at(4.5, Fault::StoreRestored(restore)),
+    ];
     for (balancers, backends) in [(10, 20), (100, 200)] {
-        let outcome = play_after(&faults, balancers, backends, 1);
+        let outcome = run_after_faults(&faults, balancers, backends, 1);
         assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
-        let took = outcome.slowest_change;
-        assert!(took <= EVERYWHERE_WITHIN, "{balancers} balancers, {backends} agents: {took:?}");
+        let took = outcome.max_propagation;
+        assert!(took <= MAX_PROPAGATION, "{balancers} balancers, {backends} agents: {took:?}");
     }
 }
--- a/crates/lab/tests/hanging_waits.rs
+++ b/crates/lab/tests/hanging_waits.rs
@@ -6,10 +6,10 @@
 use loftdrift_lab::{
     CarriedFault as Fault, CarriedWorld, CarriedWorldSettings, random_faults_with_hanging_watches,
 };
-use support::carried_runs::play_with;
+use support::carried_runs::run_with_settings;
 use support::seconds;
 
-const RANDOM_DAYS: u64 = 80;
+const RANDOM_RUNS: u64 = 80;
 
 fn settings(balancers: usize, seed: u64) -> CarriedWorldSettings {
     CarriedWorldSettings { balancers, seed, ..CarriedWorldSettings::default() }
@@ -18,9 +18,9 @@
 #[test]
 fn changes_are_in_force_in_time_though_the_waits_of_all_balancers_hang() {
     for balancers in [1, 2, 4, 12, 24] {
-        let mut day = vec![(4.0, Fault::HangWaits(seconds(11.5)))];
-        day.extend([4.1, 7.9, 12.0].map(|at| (at, Fault::MoveRoute)));
-        let outcome = play_with(settings(balancers, 1), &day);
+        let mut faults = vec![(4.0, Fault::HangWatches(seconds(11.5)))];
+        faults.extend([4.1, 7.9, 12.0].map(|at| (at, Fault::MoveRoute)));
+        let outcome = run_with_settings(settings(balancers, 1), &faults);
         assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
     }
 }
@@ -30,21 +30,21 @@
     let beside: [fn(usize) -> Fault; 4] = [
         |node| Fault::KillBalancer(node, seconds(6.0)),
         |node| Fault::FreezeBalancer(node, seconds(3.0)),
-        |node| Fault::CutBalancer(node, seconds(3.0)),
+        |node| Fault::IsolateBalancer(node, seconds(3.0)),
         Fault::StopBalancer,
     ];
-    for trouble in beside {
-        let mut day: Vec<_> = (1..4).map(|node| (4.2, trouble(node))).collect();
-        day.push((4.0, Fault::HangWaits(seconds(11.5))));
-        day.extend([4.4, 9.0].map(|at| (at, Fault::MoveRoute)));
-        let outcome = play_with(settings(4, 1), &day);
-        assert!(outcome.keeps_invariants(), "{:?}: {outcome:?}", trouble(1));
+    for fault in beside {
+        let mut faults: Vec<_> = (1..4).map(|node| (4.2, fault(node))).collect();
+        faults.push((4.0, Fault::HangWatches(seconds(11.5))));
+        faults.extend([4.4, 9.0].map(|at| (at, Fault::MoveRoute)));
+        let outcome = run_with_settings(settings(4, 1), &faults);
+        assert!(outcome.keeps_invariants(), "{:?}: {outcome:?}", fault(1));
     }
 }
 
 #[test]
 fn random_days_break_no_rule() {
-    for seed in 1..=RANDOM_DAYS {
+    for seed in 1..=RANDOM_RUNS {
         let settings = settings(2 + seed as usize % 4, seed);
         let faults =
             random_faults_with_hanging_watches(seed, settings.balancers, settings.backends);
--- a/crates/lab/tests/starved.rs
+++ b/crates/lab/tests/starved.rs
@@ -10,22 +10,25 @@
 /// Balancers and back ends.
 const SIZES: [(usize, usize); 4] = [(4, 12), (8, 30), (16, 60), (24, 110)];
 /// Of them, balancers with little processor.
-const WEAK: usize = 2;
+const SLOW_BALANCERS: usize = 2;
 /// Requests a second for each balancer.
-const REQUESTS: u64 = 45;
+const REQUESTS_PER_BALANCER: u64 = 45;
 
 fn seconds(count: f64) -> Duration {
     Duration::from_secs_f64(count)
 }
 
 /// All power is lost at 6 s for 0.6 s.
-fn play((balancers, backends): (usize, usize), policies: Policies) -> CarriedOutcome {
+fn run_after_power_loss(
+    (balancers, backends): (usize, usize),
+    policies: Policies,
+) -> CarriedOutcome {
     let settings = CarriedWorldSettings {
         balancers,
         backends,
-        requests_per_second: REQUESTS * balancers as u64,
-        slow_balancers: WEAK,
-        weak_cost: Duration::from_micros(1_300),
+        requests_per_second: REQUESTS_PER_BALANCER * balancers as u64,
+        slow_balancers: SLOW_BALANCERS,
+        slow_input_time: Duration::from_micros(1_300),
         policies,
         ..CarriedWorldSettings::default()
     };
@@ -36,7 +39,7 @@
 #[test]
 fn starved_balancers_suspect_no_living_agent_at_any_size() {
     for size in SIZES {
-        let outcome = play(size, Policies::default());
+        let outcome = run_after_power_loss(size, Policies::default());
         assert!(outcome.keeps_invariants(), "{size:?}: {outcome:?}");
         assert_eq!(outcome.suspicions, 0, "{size:?}: {outcome:?}");
         assert!(outcome.served as f64 / outcome.requests as f64 > 0.93, "{size:?}: {outcome:?}");
@@ -46,7 +49,8 @@
 #[test]
 fn without_their_own_lateness_they_suspect_living_agents_at_each_size() {
     for size in SIZES {
-        let outcome = play(size, Policies::default().without(Policy::SchedulingDelay));
+        let outcome =
+            run_after_power_loss(size, Policies::default().without(Policy::SchedulingDelay));
         assert!(outcome.suspicions > 0, "{size:?}: {outcome:?}");
     }
 }
@@ -55,9 +59,9 @@
 /// a socket were taken for new ones. Balancers, weak ones, seed.
 const FAILED_SEEDS: [(usize, usize, u64); 3] = [(4, 2, 30_001), (4, 2, 30_274), (14, 3, 32_052)];
 /// Random days with weak balancers that are played each time.
-const RANDOM_DAYS: u64 = 25;
+const RANDOM_RUNS: u64 = 25;
 
-fn play_random((balancers, slow_balancers, seed): (usize, usize, u64)) {
+fn run_random((balancers, slow_balancers, seed): (usize, usize, u64)) {
     let settings =
         CarriedWorldSettings { balancers, slow_balancers, seed, ..CarriedWorldSettings::default() };
     let faults = random_faults(seed, balancers, settings.backends);
@@ -67,10 +71,10 @@
 
 #[test]
 fn random_days_that_once_broke_a_rule_keep_all() {
-    FAILED_SEEDS.into_iter().for_each(play_random);
+    FAILED_SEEDS.into_iter().for_each(run_random);
 }
 
 #[test]
 fn random_days_with_weak_balancers_break_no_rule() {
-    (0..RANDOM_DAYS).for_each(|seed| play_random((4, 2, 40_000 + seed)));
+    (0..RANDOM_RUNS).for_each(|seed| run_random((4, 2, 40_000 + seed)));
 }
--- a/crates/lab/tests/watchers.rs
+++ b/crates/lab/tests/watchers.rs
@@ -13,7 +13,7 @@
     Duration::from_secs_f64(count)
 }
 
-fn play(balancers: usize, faults: &[(f64, Fault)]) -> CarriedOutcome {
+fn run_with_faults(balancers: usize, faults: &[(f64, Fault)]) -> CarriedOutcome {
     let settings = CarriedWorldSettings {
         balancers,
         requests_per_second: 150,
@@ -25,34 +25,37 @@
 }
 
 /// The same trouble for all that wait, a moment before the configuration changes.
-fn hit_watchers(trouble: impl Fn(usize) -> Fault) -> CarriedOutcome {
-    let mut faults: Vec<_> = (0..WATCHERS).map(|node| (5.9, trouble(node))).collect();
+fn fault_all_watchers(fault: impl Fn(usize) -> Fault) -> CarriedOutcome {
+    let mut faults: Vec<_> = (0..WATCHERS).map(|node| (5.9, fault(node))).collect();
     faults.push((6.0, Fault::MoveRoute));
     faults.push((13.0, Fault::MoveRoute));
-    play(24, &faults)
+    run_with_faults(24, &faults)
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_all_who_wait_are_killed_for_long() {
-    let outcome = hit_watchers(|node| Fault::KillBalancer(node, seconds(6.0)));
+    let outcome = fault_all_watchers(|node| Fault::KillBalancer(node, seconds(6.0)));
     assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_all_who_wait_freeze() {
-    let outcome = hit_watchers(|node| Fault::FreezeBalancer(node, seconds(4.0)));
+    let outcome = fault_all_watchers(|node| Fault::FreezeBalancer(node, seconds(4.0)));
     assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_all_who_wait_are_cut_off() {
-    let outcome = hit_watchers(|node| Fault::CutBalancer(node, seconds(4.0)));
+    let outcome = fault_all_watchers(|node| Fault::IsolateBalancer(node, seconds(4.0)));
     assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
 #[test]
 fn a_change_is_in_force_in_time_though_the_store_refuses_every_balancer() {
-    let outcome = play(24, &[(4.0, Fault::RefuseBalancers(seconds(8.0))), (6.0, Fault::MoveRoute)]);
+    let outcome = run_with_faults(
+        24,
+        &[(4.0, Fault::RefuseBalancers(seconds(8.0))), (6.0, Fault::MoveRoute)],
+    );
     assert!(outcome.keeps_invariants(), "{outcome:?}");
 }
 
@@ -61,7 +64,7 @@
     let calls = |balancers: usize| {
         // Each node reads the list and the configuration at its start.
         let starts = 2 * (balancers + CarriedWorldSettings::default().backends) as u64;
-        play(balancers, &[]).store_calls - starts
+        run_with_faults(balancers, &[]).store_calls - starts
     };
     let (few, many) = (calls(12), calls(48));
     assert!(many <= few + few / 4, "{few} calls of 12 balancers, {many} of 48");
