--- a/crates/lab/src/carried/backend.rs
+++ b/crates/lab/src/carried/backend.rs
@@ -66,7 +66,7 @@
 pub(super) struct SimulatedBackend {
     pub(super) service: &'static str,
     /// Number of this start, unique among all starts of all back ends.
-    pub(super) start_number: u64,
+    pub(super) start_id: u64,
     pub(super) is_alive: bool,
     pub(super) is_leaving: bool,
     /// When the agent received the report that the back end is leaving.
@@ -82,10 +82,10 @@
 }
 
 impl SimulatedBackend {
-    pub(super) fn new(service: &'static str, slots: usize, start_number: u64) -> Self {
+    pub(super) fn new(service: &'static str, slots: usize, start_id: u64) -> Self {
         SimulatedBackend {
             service,
-            start_number,
+            start_id,
             is_alive: true,
             is_leaving: false,
             leaving_since: None,
@@ -97,14 +97,14 @@
             flows: HashMap::new(),
             // A multiplier other than the step between flows: with the same one, a start would
             // repeat the sequence numbers of the previous start, one flow later.
-            next_sequence: (start_number as u32).wrapping_mul(0x85eb_ca6b),
+            next_sequence: (start_id as u32).wrapping_mul(0x85eb_ca6b),
         }
     }
 
     pub(super) fn report(&mut self) -> BackendReport {
         self.report_sequence += 1;
         BackendReport {
-            incarnation: Incarnation::without_start_time(format!("start-{}", self.start_number)),
+            incarnation: Incarnation::without_start_time(format!("start-{}", self.start_id)),
             service: self.service.to_owned(),
             capacity: self.slots as u16,
             is_ready: !self.is_leaving,
--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -13,12 +13,12 @@
     }
 
     pub(super) fn schedule_heartbeat(&mut self, agent: usize, after: Duration) {
-        let start_number = self.backends[agent].start_number;
-        self.events.push(self.now + after, Event::BackendHeartbeat { agent, start_number });
+        let start_id = self.backends[agent].start_id;
+        self.events.push(self.now + after, Event::BackendHeartbeat { agent, start_id });
     }
 
-    pub(super) fn heartbeat(&mut self, agent: usize, start_number: u64) {
-        if self.backends[agent].start_number != start_number || !self.backends[agent].is_alive {
+    pub(super) fn heartbeat(&mut self, agent: usize, start_id: u64) {
+        if self.backends[agent].start_id != start_id || !self.backends[agent].is_alive {
             return;
         }
         self.schedule_heartbeat(agent, HEARTBEAT_INTERVAL);
@@ -32,14 +32,13 @@
         let backend = &mut self.backends[agent];
         if backend.is_leaving && backend.leaving_since.is_none() {
             backend.leaving_since = Some(self.now);
-            self.events
-                .push(self.now + SHUTDOWN_DELAY, Event::BackendExited { agent, start_number });
+            self.events.push(self.now + SHUTDOWN_DELAY, Event::BackendExited { agent, start_id });
         }
         self.settle(node);
     }
 
-    pub(super) fn exit_backend(&mut self, agent: usize, start_number: u64) {
-        if self.backends[agent].start_number != start_number {
+    pub(super) fn exit_backend(&mut self, agent: usize, start_id: u64) {
+        if self.backends[agent].start_id != start_id {
             return;
         }
         self.backends[agent].is_alive = false;
@@ -51,8 +50,8 @@
         self.schedule_heartbeat(agent, Duration::from_millis(20));
     }
 
-    pub(super) fn recover_backend(&mut self, agent: usize, start_number: u64) {
-        if self.backends[agent].start_number == start_number {
+    pub(super) fn recover_backend(&mut self, agent: usize, start_id: u64) {
+        if self.backends[agent].start_id == start_id {
             self.backends[agent].failing = None;
         }
     }
@@ -79,7 +78,7 @@
         let flow = segment.flow();
         let first = self.first_sequences.get(&flow);
         if first.is_some_and(|first| segment.sequence.wrapping_sub(*first) < MAX_FLOW_BYTES) {
-            self.flow_owners.insert(flow, (agent, self.backends[agent].start_number));
+            self.flow_owners.insert(flow, (agent, self.backends[agent].start_id));
         }
     }
 
@@ -114,14 +113,14 @@
             let request = self.backends[agent].request(&flow).unwrap_or_default().to_vec();
             let is_new = self.request_runs.insert((0, request));
             self.outcome.duplicate_runs += u64::from(!is_new);
-            let start_number = self.backends[agent].start_number;
+            let start_id = self.backends[agent].start_id;
             let work = self.settings.work.mul_f64(self.random.random_range(0.5..1.5));
-            self.events.push(self.now + work, Event::WorkFinished { agent, start_number, flow });
+            self.events.push(self.now + work, Event::WorkFinished { agent, start_id, flow });
         }
     }
 
-    pub(super) fn finish_work(&mut self, agent: usize, start_number: u64, flow: FlowKey) {
-        if self.backends[agent].start_number == start_number && self.backends[agent].is_alive {
+    pub(super) fn finish_work(&mut self, agent: usize, start_id: u64, flow: FlowKey) {
+        if self.backends[agent].start_id == start_id && self.backends[agent].is_alive {
             let reaction = self.backends[agent].finish(&flow);
             self.apply_reaction(agent, reaction);
         }
--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -125,9 +125,9 @@
     }
 
     pub(super) fn is_owner_alive(&self, flow: &FlowKey) -> bool {
-        self.flow_owners.get(flow).is_some_and(|(agent, start_number)| {
+        self.flow_owners.get(flow).is_some_and(|(agent, start_id)| {
             let backend = &self.backends[*agent];
-            backend.start_number == *start_number && backend.is_alive
+            backend.start_id == *start_id && backend.is_alive
         })
     }
 
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -57,9 +57,8 @@
             CarriedFault::ReplaceBackend(agent) => self.backends[agent].is_leaving = true,
             CarriedFault::FailBackend(agent, mode, duration) => {
                 self.backends[agent].failing = Some(mode);
-                let start_number = self.backends[agent].start_number;
-                self.events
-                    .push(self.now + duration, Event::BackendRecovered { agent, start_number });
+                let start_id = self.backends[agent].start_id;
+                self.events.push(self.now + duration, Event::BackendRecovered { agent, start_id });
             }
             CarriedFault::CrashBackend(agent, down) => self.crash(agent, down),
         }
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -132,23 +132,23 @@
     },
     WorkFinished {
         agent: usize,
-        start_number: u64,
+        start_id: u64,
         flow: FlowKey,
     },
     BackendHeartbeat {
         agent: usize,
-        start_number: u64,
+        start_id: u64,
     },
     BackendExited {
         agent: usize,
-        start_number: u64,
+        start_id: u64,
     },
     StartBackend {
         agent: usize,
     },
     BackendRecovered {
         agent: usize,
-        start_number: u64,
+        start_id: u64,
     },
     ProbeBalancers,
     CheckVersions,
@@ -310,15 +310,13 @@
             Event::WakeNode { node, incarnation } => self.wake_node(node, incarnation),
             Event::ToBackend { agent, packet } => self.deliver_to_backend(agent, &packet),
             Event::FromBackend { agent, packet } => self.deliver_from_backend(agent, packet),
-            Event::WorkFinished { agent, start_number, flow } => {
-                self.finish_work(agent, start_number, flow)
+            Event::WorkFinished { agent, start_id, flow } => {
+                self.finish_work(agent, start_id, flow)
             }
-            Event::BackendHeartbeat { agent, start_number } => self.heartbeat(agent, start_number),
-            Event::BackendExited { agent, start_number } => self.exit_backend(agent, start_number),
+            Event::BackendHeartbeat { agent, start_id } => self.heartbeat(agent, start_id),
+            Event::BackendExited { agent, start_id } => self.exit_backend(agent, start_id),
             Event::StartBackend { agent } => self.start_backend(agent),
-            Event::BackendRecovered { agent, start_number } => {
-                self.recover_backend(agent, start_number)
-            }
+            Event::BackendRecovered { agent, start_id } => self.recover_backend(agent, start_id),
             Event::ProbeBalancers => self.probe_balancers(),
             Event::CheckVersions => self.check_versions(),
             Event::StoreRestored(restore) => self.restore_store(restore),
