--- a/crates/bench/benches/lookups.rs
+++ b/crates/bench/benches/lookups.rs
@@ -140,7 +140,7 @@
     let elapsed = median(times.collect());
     let lookups = RUNS as f64 * FLOWS as f64;
     println!(
-        "{agents} agents: {:.1} us, {:.1} questions, {:.0} B a search",
+        "{agents} agents: {:.1} us, {:.1} queries, {:.0} B a lookup",
         elapsed.as_secs_f64() * 1e6 / FLOWS as f64,
         cost.queries as f64 / lookups,
         cost.bytes as f64 / lookups,
--- a/crates/lab/src/carried/backend.rs
+++ b/crates/lab/src/carried/backend.rs
@@ -52,7 +52,7 @@
 /// What a back end does in response to a packet or to finished work.
 #[derive(Debug, Default)]
 pub(super) struct Reaction {
-    /// Packets to send to the caller through the agent.
+    /// Packets for the agent: answers to the caller, and returned packets of unknown flows.
     pub(super) packets: Vec<Vec<u8>>,
     /// A SYN was accepted, which opened a new flow.
     pub(super) accepted_flow: bool,
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Whether no running process has run since before the restore.
+    /// Whether every running process started after the restore.
     fn no_process_survived(&self) -> bool {
         let survived = |node: &Process| node.core.is_some() && node.started < self.restored_at;
         !self.nodes.iter().any(survived)
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -47,7 +47,7 @@
 const REWRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Duration of a planned stop. The router has removed the balancer from rotation by then.
 const STOP_DURATION: Duration = Duration::from_millis(1_600);
-/// A process that was frozen for longer than this is told so when it resumes.
+/// A process that was frozen for longer than this is notified when it resumes.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 const MAX_FLOW_AGE: Duration = Duration::from_secs(60);
 const TARGET_LATENCY_MS: u32 = 200;
@@ -218,9 +218,9 @@
     balancers_refused_until: Duration,
     loss: f64,
     backend_starts: u64,
-    /// The back end and its start that own each flow; tells whether a reset broke an open flow.
+    /// Owner of each flow (agent, start of its back end), to count resets of flows still open.
     flow_owners: HashMap<FlowKey, (usize, u64)>,
-    /// Initial sequence number of each port's latest flow; tells late packets of earlier flows.
+    /// Initial sequence number of the latest flow per port, to recognize packets of older flows.
     first_sequences: HashMap<FlowKey, u32>,
     /// Requests that a back end has started to process.
     request_runs: HashSet<(u64, Vec<u8>)>,
--- a/crates/lab/src/carried/world/store.rs
+++ b/crates/lab/src/carried/world/store.rs
@@ -1,4 +1,4 @@
-//! The simulated shared store and its history. It can be restored from an older copy.
+//! The simulated shared store and its history. It can be restored from an older backup.
 
 use loftdrift_carried::{CarriedConfiguration, Position};
 use std::time::Duration;
@@ -9,7 +9,7 @@
     current: StoredState,
     /// The configuration that operators want, including writes that the store has lost.
     wanted: CarriedConfiguration,
-    /// States of the current era with the time since which each held, oldest first.
+    /// States of the current era, each with the time it was written, oldest first.
     history: Vec<(Duration, StoredState)>,
 }
 
@@ -84,15 +84,15 @@
         self.history.push((now, self.current.clone()));
     }
 
-    /// Restores the copy that is `backup_age` old. A new era starts, in which the revisions since
-    /// the copy are used again.
+    /// Restores the backup that is `backup_age` old. A new era starts, in which the revisions since
+    /// the backup are used again.
     pub(super) fn restore(&mut self, now: Duration, backup_age: Duration) {
         let taken = now.saturating_sub(backup_age);
         let kept = self.history.partition_point(|(at, _)| *at <= taken).max(1);
         self.history.truncate(kept);
         let era = self.current.position.era + 1;
-        if let Some((_, copy)) = self.history.last() {
-            self.current = copy.clone();
+        if let Some((_, backup)) = self.history.last() {
+            self.current = backup.clone();
         }
         self.current.position.era = era;
         self.current.configuration.version.position.era = era;
--- a/crates/lab/tests/restored_store.rs
+++ b/crates/lab/tests/restored_store.rs
@@ -23,7 +23,7 @@
     })
 }
 
-/// Route changes at these times.
+/// Route changes at these times: before the backup, between backup and restore, and after both.
 fn changes(at: &[f64]) -> Vec<(f64, Fault)> {
     at.iter().map(|at| (*at, Fault::MoveRoute)).collect()
 }
--- a/crates/lab/tests/support/carried_runs.rs
+++ b/crates/lab/tests/support/carried_runs.rs
@@ -14,6 +14,7 @@
     run_with_settings(CarriedWorldSettings::default(), faults)
 }
 
+/// Asserts that no invariant was violated and that at least this share of requests was served.
 pub fn assert_no_violations(outcome: CarriedOutcome, min_served: f64) {
     assert!(outcome.keeps_invariants(), "{outcome:?}");
     let share = outcome.served as f64 / outcome.requests as f64;
