--- a/crates/lab/src/carried/caller.rs
+++ b/crates/lab/src/carried/caller.rs
@@ -176,8 +176,9 @@
 
     fn send_request(&mut self, now: Duration, sequence: u32) -> CallerStep {
         let head = Segment::between(self.address, self.service);
-        let own = self.first_sequence().wrapping_add(self.bytes_sent);
-        let segment = Segment { ack: true, sequence: own, acknowledgement: sequence, ..head };
+        let own_sequence = self.first_sequence().wrapping_add(self.bytes_sent);
+        let segment =
+            Segment { ack: true, sequence: own_sequence, acknowledgement: sequence, ..head };
         let pause = REQUEST_RETRANSMIT_DELAY * 2_u32.pow(self.retransmissions.min(3));
         self.retransmissions += 1;
         self.wait_until(now + pause, Some(PlainFormat::write(&segment, &self.request())))
--- a/crates/lab/src/carried/process.rs
+++ b/crates/lab/src/carried/process.rs
@@ -55,7 +55,7 @@
     }
 
     /// Time since the process started.
-    pub(super) fn own_time(&self, now: Duration) -> Duration {
+    pub(super) fn uptime(&self, now: Duration) -> Duration {
         now.saturating_sub(self.started)
     }
 
@@ -74,7 +74,7 @@
     }
 
     pub(super) fn handle_peer(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
-        let now = self.own_time(now);
+        let now = self.uptime(now);
         match &mut self.core {
             Some(Core::Balancer(balancer)) => balancer.handle_peer(now, from, datagram),
             Some(Core::Agent(agent)) => agent.handle_peer(now, from, datagram),
@@ -83,7 +83,7 @@
     }
 
     pub(super) fn handle_timeout(&mut self, now: Duration) {
-        let now = self.own_time(now);
+        let now = self.uptime(now);
         match &mut self.core {
             Some(Core::Balancer(balancer)) => balancer.handle_timeout(now),
             Some(Core::Agent(agent)) => agent.handle_timeout(now),
@@ -116,7 +116,7 @@
     }
 
     pub(super) fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
-        let now = self.own_time(now);
+        let now = self.uptime(now);
         match &mut self.core {
             Some(Core::Balancer(balancer)) => balancer.take_snapshot(now, snapshot),
             Some(Core::Agent(agent)) => agent.take_snapshot(now, snapshot),
--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -26,15 +26,15 @@
         if self.frozen_until(node).is_some() {
             return;
         }
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         let Some(core) = self.nodes[node].agent() else { return };
-        core.take_report(own, &self.backends[agent].report());
+        core.take_report(uptime, &self.backends[agent].report());
         let backend = &mut self.backends[agent];
         if backend.is_leaving && backend.leaving_since.is_none() {
             backend.leaving_since = Some(self.now);
             self.events.push(self.now + SHUTDOWN_DELAY, Event::BackendExited { agent, start_id });
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     pub(super) fn exit_backend(&mut self, agent: usize, start_id: u64) {
@@ -131,11 +131,11 @@
         if let Some(frozen_until) = self.frozen_until(node) {
             return self.defer(node, frozen_until, Event::FromBackend { agent, packet });
         }
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         if let Some(core) = self.nodes[node].agent() {
-            core.handle_backend(own, packet);
+            core.handle_backend(uptime, packet);
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     /// Reports the result of an agent's connection attempt to its back end.
@@ -151,10 +151,10 @@
             true => ProbeOutcome::NotRefused,
             false => ProbeOutcome::Refused,
         };
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         if let Some(core) = self.nodes[node].agent() {
-            core.take_probe(own, outcome);
+            core.take_probe(uptime, outcome);
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 }
--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -92,11 +92,11 @@
         if self.is_slow(node) {
             return self.queue_caller_packet(node, packet);
         }
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         if let Some(balancer) = self.nodes[node].balancer() {
-            balancer.handle_caller(own, &packet);
+            balancer.handle_caller(uptime, &packet);
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     pub(super) fn deliver_to_caller(&mut self, packet: &[u8]) {
@@ -135,9 +135,9 @@
         self.events.push(self.now + PROBE_INTERVAL, Event::ProbeBalancers);
         for node in 0..self.settings.balancers {
             let is_frozen = self.frozen_until(node).is_some();
-            let own = self.nodes[node].own_time(self.now);
+            let uptime = self.nodes[node].uptime(self.now);
             let process = &mut self.nodes[node];
-            let is_ready = process.balancer().is_some_and(|balancer| balancer.is_ready(own));
+            let is_ready = process.balancer().is_some_and(|balancer| balancer.is_ready(uptime));
             if is_ready && !is_frozen {
                 process.in_rotation = true;
                 process.missed_probes = 0;
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -95,13 +95,13 @@
         if self.nodes[node].incarnation != incarnation || self.frozen_until(node).is_some() {
             return;
         }
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         match &mut self.nodes[node].core {
-            Some(Core::Balancer(balancer)) => balancer.resume(own),
-            Some(Core::Agent(agent)) => agent.resume(own),
+            Some(Core::Balancer(balancer)) => balancer.resume(uptime),
+            Some(Core::Agent(agent)) => agent.resume(uptime),
             None => {}
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     pub(super) fn isolate(&mut self, node: usize, duration: Duration) {
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -293,8 +293,8 @@
             }
         }
         for node in 0..self.settings.balancers {
-            let own = self.nodes[node].own_time(self.now);
-            let counters = self.nodes[node].balancer().map(|balancer| balancer.counters(own));
+            let uptime = self.nodes[node].uptime(self.now);
+            let counters = self.nodes[node].balancer().map(|balancer| balancer.counters(uptime));
             self.outcome.suspicions += counters.map_or(0, |counters| counters.suspicions);
         }
         self.outcome
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -14,13 +14,13 @@
         process.watch_hangs_until = Duration::ZERO;
         process.inbox = Inbox::default();
         let incarnation = process.incarnation;
-        let me = self.describe(node, incarnation);
+        let node_description = self.describe(node, incarnation);
         let format = PlainFormat;
         let policies = settings.policies;
         let core = if node < settings.balancers {
             let seed = self.random.random();
             let settings = CarriedBalancerSettings {
-                node: me,
+                node: node_description,
                 seed,
                 configuration_bound: PROPAGATION_BOUND,
                 policies,
@@ -28,7 +28,7 @@
             Core::Balancer(Box::new(CarriedBalancer::new(settings, format)))
         } else {
             let settings = CarriedAgentSettings {
-                node: me,
+                node: node_description,
                 service: self.backends[node - settings.balancers].service.to_owned(),
                 max_flow_age: MAX_FLOW_AGE,
                 cold_overshoot: 1.0,
@@ -47,7 +47,7 @@
                 Event::DeliverSnapshot { from, to: node, incarnation },
             );
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     pub(super) fn describe(&self, node: usize, incarnation: u64) -> Node {
@@ -97,11 +97,11 @@
         if self.nodes[node].next_timeout().is_some_and(|next| next <= self.now) {
             self.nodes[node].handle_timeout(self.now);
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     /// Executes the outputs of a node's core and schedules its next timer.
-    pub(super) fn settle(&mut self, node: usize) {
+    pub(super) fn process_outputs(&mut self, node: usize) {
         while let Some(output) = self.nodes[node].take_output() {
             match output {
                 Output::ToCaller { datagram: packet, .. } => {
@@ -176,7 +176,7 @@
             return self.queue_peer_datagram(node, from, datagram);
         }
         self.nodes[node].handle_peer(self.now, from, &datagram);
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     pub(super) fn node_at(&self, address: SocketAddrV4) -> Option<usize> {
@@ -201,7 +201,7 @@
         }
         if let Some(snapshot) = self.nodes[from].snapshot() {
             self.nodes[to].take_snapshot(self.now, snapshot);
-            self.settle(to);
+            self.process_outputs(to);
         }
     }
 
@@ -230,9 +230,9 @@
         if self.frozen_until(node).is_some() {
             return;
         }
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         let is_first = !self.nodes[node].knows_members;
-        let watches = self.nodes[node].balancer().is_some_and(|core| core.watches_store(own));
+        let watches = self.nodes[node].balancer().is_some_and(|core| core.watches_store(uptime));
         let hangs = self.nodes[node].watch_hangs_until > self.now;
         if !is_first && (!watches || hangs) {
             return;
@@ -248,7 +248,7 @@
         self.outcome.store_calls += 1;
         // A node writes its own entry before it reads the list.
         self.store.write_entry(self.now);
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         let balancers = self.settings.balancers;
         let role = |node: usize| match node < balancers {
             true => NodeRole::Balancer,
@@ -258,8 +258,8 @@
         let members: Vec<_> = nodes.map(|(node, process)| (process.address, role(node))).collect();
         self.nodes[node].knows_members = true;
         match &mut self.nodes[node].core {
-            Some(Core::Balancer(balancer)) => balancer.learn_members(own, &members),
-            Some(Core::Agent(agent)) => agent.learn_members(own, &members),
+            Some(Core::Balancer(balancer)) => balancer.learn_members(uptime, &members),
+            Some(Core::Agent(agent)) => agent.learn_members(uptime, &members),
             None => {}
         }
     }
@@ -268,24 +268,24 @@
     fn read_configuration(&mut self, node: usize) {
         self.outcome.store_calls += 1;
         let answers = self.store_answers(node);
-        let own = self.nodes[node].own_time(self.now);
+        let uptime = self.nodes[node].uptime(self.now);
         let configuration = self.store.read();
         match &mut self.nodes[node].core {
             Some(Core::Balancer(balancer)) => {
                 if answers {
-                    balancer.adopt(own, configuration);
+                    balancer.adopt(uptime, configuration);
                 }
-                balancer.note_store(own, answers);
+                balancer.note_store(uptime, answers);
             }
             Some(Core::Agent(agent)) => {
                 if answers {
-                    agent.adopt(own, configuration);
+                    agent.adopt(uptime, configuration);
                 }
-                agent.note_store(own, answers);
+                agent.note_store(uptime, answers);
             }
             None => {}
         }
-        self.settle(node);
+        self.process_outputs(node);
     }
 
     fn store_answers(&self, node: usize) -> bool {
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -87,7 +87,7 @@
         if self.is_timer_due(node) {
             self.now += self.settings.slow_input_time;
             self.nodes[node].handle_timeout(self.now);
-            self.settle(node);
+            self.process_outputs(node);
         }
         self.nodes[node].inbox.busy_until = self.now;
         self.now = started;
@@ -108,7 +108,7 @@
             };
             self.now += self.settings.slow_input_time;
             self.nodes[node].handle_peer(self.now, from, &datagram);
-            self.settle(node);
+            self.process_outputs(node);
         }
     }
 
@@ -120,11 +120,11 @@
                 return self.nodes[node].inbox.input_age.note_batch(started, true);
             };
             self.now += self.settings.slow_input_time;
-            let own = self.nodes[node].own_time(self.now);
+            let uptime = self.nodes[node].uptime(self.now);
             if let Some(balancer) = self.nodes[node].balancer() {
-                balancer.handle_caller(own, &packet);
+                balancer.handle_caller(uptime, &packet);
             }
-            self.settle(node);
+            self.process_outputs(node);
         }
         self.nodes[node].inbox.input_age.note_batch(started, false);
     }
--- a/crates/lab/tests/evacuations.rs
+++ b/crates/lab/tests/evacuations.rs
@@ -83,8 +83,8 @@
     faults.extend([0, 3, 6].map(|agent| (5.5, Fault::IsolateAgent(agent, seconds(1.5)))));
     let ended = run_with_settings(settings, &faults);
     assert!(ended.keeps_invariants(), "{ended:?}");
-    let lasting = run_with_settings(settings, &[(3.0, Fault::Evacuate(HALF))]);
-    assert!(2 * lasting.refused > 3 * ended.refused, "{lasting:?} {ended:?}");
+    let not_ended = run_with_settings(settings, &[(3.0, Fault::Evacuate(HALF))]);
+    assert!(2 * not_ended.refused > 3 * ended.refused, "{not_ended:?} {ended:?}");
 }
 
 #[test]
