--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -115,7 +115,7 @@
             self.outcome.duplicate_runs += u64::from(!is_new);
             let start_id = self.backends[agent].start_id;
             let work = self.settings.work.mul_f64(self.random.random_range(0.5..1.5));
-            self.events.push(self.now + work, Event::WorkFinished { agent, start_id, flow });
+            self.events.push(self.now + work, Event::WorkDone { agent, start_id, flow });
         }
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Reports the result of an agent's connection attempt to its back end.
-    pub(super) fn finish_backend_probe(&mut self, agent: usize, incarnation: u64) {
+    pub(super) fn handle_probe(&mut self, agent: usize, incarnation: u64) {
         let node = self.settings.balancers + agent;
         if self.nodes[node].incarnation != incarnation {
             return;
--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -18,7 +18,7 @@
         let number = self.outcome.requests;
         let address = self.next_address();
         let service = service_address(usize::from(self.random.random_range(0..4) == 0));
-        self.callers_by_address.insert(address, number);
+        self.caller_numbers.insert(address, number);
         let every = self.settings.long_flow_interval;
         let is_long = every > 0 && number.is_multiple_of(every);
         let request_count = if is_long { REQUESTS_PER_LONG_FLOW } else { 1 };
@@ -40,7 +40,7 @@
     }
 
     fn is_in_use(&self, address: &SocketAddrV4) -> bool {
-        let number = self.callers_by_address.get(address);
+        let number = self.caller_numbers.get(address);
         let caller = number.and_then(|number| self.callers.get(number));
         caller.is_some_and(|caller| caller.address == *address && !caller.is_over())
     }
@@ -101,7 +101,7 @@
 
     pub(super) fn deliver_to_caller(&mut self, packet: &[u8]) {
         let Ok(segment) = PlainFormat.parse(packet) else { return };
-        let Some(number) = self.callers_by_address.get(&segment.destination).copied() else {
+        let Some(number) = self.caller_numbers.get(&segment.destination).copied() else {
             return;
         };
         let address = self.next_address();
@@ -115,7 +115,7 @@
         }
         let step = caller.receive(now, packet, address);
         if caller.address != before {
-            self.callers_by_address.insert(address, number);
+            self.caller_numbers.insert(address, number);
         }
         // Simulated back ends never send a reset, so this one came from a node.
         if step.flow_reset && self.is_owner_alive(&flow) {
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -130,7 +130,7 @@
         agent: usize,
         packet: Vec<u8>,
     },
-    WorkFinished {
+    WorkDone {
         agent: usize,
         start_id: u64,
         flow: FlowKey,
@@ -171,7 +171,7 @@
         node: usize,
         incarnation: u64,
     },
-    DeliverSnapshot {
+    Snapshot {
         from: usize,
         to: usize,
         incarnation: u64,
@@ -202,7 +202,7 @@
     nodes: Vec<Process>,
     backends: Vec<SimulatedBackend>,
     callers: HashMap<u64, Caller>,
-    callers_by_address: HashMap<SocketAddrV4, u64>,
+    caller_numbers: HashMap<SocketAddrV4, u64>,
     nodes_by_address: HashMap<SocketAddrV4, usize>,
     next_port: u32,
     store: Store,
@@ -243,7 +243,7 @@
             nodes,
             backends: Vec::new(),
             callers: HashMap::new(),
-            callers_by_address: HashMap::new(),
+            caller_numbers: HashMap::new(),
             nodes_by_address: (0..count).map(|node| (address(node), node)).collect(),
             next_port: 1_024,
             store: Store::new(configuration(SERVICES[1])),
@@ -310,9 +310,7 @@
             Event::WakeNode { node, incarnation } => self.wake_node(node, incarnation),
             Event::ToBackend { agent, packet } => self.deliver_to_backend(agent, &packet),
             Event::FromBackend { agent, packet } => self.deliver_from_backend(agent, packet),
-            Event::WorkFinished { agent, start_id, flow } => {
-                self.finish_work(agent, start_id, flow)
-            }
+            Event::WorkDone { agent, start_id, flow } => self.finish_work(agent, start_id, flow),
             Event::BackendHeartbeat { agent, start_id } => self.heartbeat(agent, start_id),
             Event::BackendExited { agent, start_id } => self.exit_backend(agent, start_id),
             Event::StartBackend { agent } => self.start_backend(agent),
@@ -325,12 +323,10 @@
             Event::ProcessorTurn { node, incarnation } => self.run_turn(node, incarnation),
             Event::Resume { node, incarnation } => self.resume(node, incarnation),
             Event::ReadStore { node, incarnation } => self.read_store(node, incarnation),
-            Event::DeliverSnapshot { from, to, incarnation } => {
+            Event::Snapshot { from, to, incarnation } => {
                 self.deliver_snapshot(from, to, incarnation)
             }
-            Event::BackendProbed { agent, incarnation } => {
-                self.finish_backend_probe(agent, incarnation)
-            }
+            Event::BackendProbed { agent, incarnation } => self.handle_probe(agent, incarnation),
             Event::Deferred { node, incarnation, event } => {
                 if self.nodes[node].incarnation == incarnation && self.nodes[node].core.is_some() {
                     let since = self.nodes[node].frozen_since;
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -44,7 +44,7 @@
         for from in seeds.filter(|from| *from != node) {
             self.events.push(
                 self.now + ONE_WAY_DELAY * 2,
-                Event::DeliverSnapshot { from, to: node, incarnation },
+                Event::Snapshot { from, to: node, incarnation },
             );
         }
         self.process_outputs(node);
@@ -186,8 +186,7 @@
     pub(super) fn fetch_snapshot(&mut self, to: usize, from: SocketAddrV4) {
         let Some(from) = self.node_at(from) else { return };
         let incarnation = self.nodes[to].incarnation;
-        self.events
-            .push(self.now + ONE_WAY_DELAY * 4, Event::DeliverSnapshot { from, to, incarnation });
+        self.events.push(self.now + ONE_WAY_DELAY * 4, Event::Snapshot { from, to, incarnation });
     }
 
     pub(super) fn deliver_snapshot(&mut self, from: usize, to: usize, incarnation: u64) {
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -14,8 +14,8 @@
 /// Input that waits for a slow balancer's processor.
 #[derive(Default)]
 pub(in crate::carried) struct Inbox {
-    peer_datagrams: VecDeque<(SocketAddrV4, Vec<u8>)>,
-    caller_packets: VecDeque<Vec<u8>>,
+    peer_queue: VecDeque<(SocketAddrV4, Vec<u8>)>,
+    caller_queue: VecDeque<Vec<u8>>,
     input_age: InputAge,
     /// Whether a turn is scheduled; there is never more than one.
     is_turn_scheduled: bool,
@@ -29,7 +29,7 @@
     }
 
     fn is_empty(&self) -> bool {
-        self.peer_datagrams.is_empty() && self.caller_packets.is_empty()
+        self.peer_queue.is_empty() && self.caller_queue.is_empty()
     }
 }
 
@@ -46,18 +46,18 @@
         from: SocketAddrV4,
         datagram: Vec<u8>,
     ) {
-        let peer_datagrams = &mut self.nodes[node].inbox.peer_datagrams;
-        if peer_datagrams.len() < SOCKET_CAPACITY_DATAGRAMS {
-            peer_datagrams.push_back((from, datagram));
+        let peer_queue = &mut self.nodes[node].inbox.peer_queue;
+        if peer_queue.len() < SOCKET_CAPACITY_DATAGRAMS {
+            peer_queue.push_back((from, datagram));
         }
         self.request_turn(node);
     }
 
     /// Queues a packet of a caller in a slow balancer's socket.
     pub(super) fn queue_caller_packet(&mut self, node: usize, packet: Vec<u8>) {
-        let caller_packets = &mut self.nodes[node].inbox.caller_packets;
-        if caller_packets.len() < SOCKET_CAPACITY_DATAGRAMS {
-            caller_packets.push_back(packet);
+        let caller_queue = &mut self.nodes[node].inbox.caller_queue;
+        if caller_queue.len() < SOCKET_CAPACITY_DATAGRAMS {
+            caller_queue.push_back(packet);
         }
         self.request_turn(node);
     }
@@ -103,7 +103,7 @@
     /// Processes up to `max_datagrams` messages of nodes, one after another.
     fn process_peers(&mut self, node: usize, max_datagrams: usize) {
         for _ in 0..max_datagrams {
-            let Some((from, datagram)) = self.nodes[node].inbox.peer_datagrams.pop_front() else {
+            let Some((from, datagram)) = self.nodes[node].inbox.peer_queue.pop_front() else {
                 return;
             };
             self.now += self.settings.slow_input_time;
@@ -116,7 +116,7 @@
         let started = self.now;
         self.note_input_age(node, self.nodes[node].inbox.input_age.max_wait(started));
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
-            let Some(packet) = self.nodes[node].inbox.caller_packets.pop_front() else {
+            let Some(packet) = self.nodes[node].inbox.caller_queue.pop_front() else {
                 return self.nodes[node].inbox.input_age.note_batch(started, true);
             };
             self.now += self.settings.slow_input_time;
