--- a/crates/lab/src/carried/world/callers.rs
+++ b/crates/lab/src/carried/world/callers.rs
@@ -101,9 +101,7 @@
 
     pub(super) fn deliver_to_caller(&mut self, packet: &[u8]) {
         let Ok(segment) = PlainFormat.parse(packet) else { return };
-        let Some(number) = self.caller_numbers.get(&segment.destination).copied() else {
-            return;
-        };
+        let Some(number) = self.caller_numbers.get(&segment.destination).copied() else { return };
         let address = self.next_address();
         let now = self.now;
         let Some(caller) = self.callers.get_mut(&number) else { return };
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -323,9 +323,7 @@
             Event::ProcessorTurn { node, incarnation } => self.run_turn(node, incarnation),
             Event::Resume { node, incarnation } => self.resume(node, incarnation),
             Event::ReadStore { node, incarnation } => self.read_store(node, incarnation),
-            Event::Snapshot { from, to, incarnation } => {
-                self.deliver_snapshot(from, to, incarnation)
-            }
+            Event::Snapshot { from, to, incarnation } => self.send_snapshot(from, to, incarnation),
             Event::BackendProbed { agent, incarnation } => self.handle_probe(agent, incarnation),
             Event::Deferred { node, incarnation, event } => {
                 if self.nodes[node].incarnation == incarnation && self.nodes[node].core.is_some() {
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -189,7 +189,7 @@
         self.events.push(self.now + ONE_WAY_DELAY * 4, Event::Snapshot { from, to, incarnation });
     }
 
-    pub(super) fn deliver_snapshot(&mut self, from: usize, to: usize, incarnation: u64) {
+    pub(super) fn send_snapshot(&mut self, from: usize, to: usize, incarnation: u64) {
         let is_cut = |node: usize| self.nodes[node].isolated_until > self.now;
         let is_unreachable = is_cut(from) || is_cut(to) || self.frozen_until(from).is_some();
         if is_unreachable
