--- a/crates/lab/src/assigner.rs
+++ b/crates/lab/src/assigner.rs
@@ -1,7 +1,7 @@
 //! Replays a log of flows under an assignment and samples its imbalance.
 
 use crate::flow_log::FlowLog;
-use crate::run::{SAMPLE_INTERVAL, largest_over_mean};
+use crate::run::{SAMPLE_INTERVAL, max_to_mean_ratio};
 use crate::scenario::Scenario;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -18,49 +18,49 @@
     mut assign: impl FnMut(usize, &[u32], &Loads) -> Option<u32>,
 ) -> Vec<Vec<(Duration, f64)>> {
     let mut loads = Loads::new();
-    let mut endings: BinaryHeap<Reverse<(Duration, usize, u32)>> = BinaryHeap::new();
+    let mut flow_ends: BinaryHeap<Reverse<(Duration, usize, u32)>> = BinaryHeap::new();
     let mut samples = vec![Vec::new(); scenario.services.len()];
     let mut next_sample = scenario.warm_up;
     for (index, flow) in log.flows.iter().enumerate() {
         while next_sample < scenario.duration && next_sample < flow.opened {
-            end_until(&mut endings, &mut loads, next_sample);
-            take_sample(log, &loads, next_sample, &mut samples);
+            remove_ended_flows(&mut flow_ends, &mut loads, next_sample);
+            record_sample(log, &loads, next_sample, &mut samples);
             next_sample += SAMPLE_INTERVAL;
         }
-        end_until(&mut endings, &mut loads, flow.opened);
+        remove_ended_flows(&mut flow_ends, &mut loads, flow.opened);
         let members = log.members_at(flow.service, flow.opened);
         if let Some(chosen) = assign(index, members, &loads) {
             *loads.entry((flow.service, chosen)).or_default() += 1;
-            endings.push(Reverse((flow.ended, flow.service, chosen)));
+            flow_ends.push(Reverse((flow.ended, flow.service, chosen)));
         }
     }
     while next_sample < scenario.duration {
-        end_until(&mut endings, &mut loads, next_sample);
-        take_sample(log, &loads, next_sample, &mut samples);
+        remove_ended_flows(&mut flow_ends, &mut loads, next_sample);
+        record_sample(log, &loads, next_sample, &mut samples);
         next_sample += SAMPLE_INTERVAL;
     }
     samples
 }
 
-fn end_until(
-    endings: &mut BinaryHeap<Reverse<(Duration, usize, u32)>>,
+fn remove_ended_flows(
+    flow_ends: &mut BinaryHeap<Reverse<(Duration, usize, u32)>>,
     loads: &mut Loads,
     until: Duration,
 ) {
-    while endings.peek().is_some_and(|Reverse((at, _, _))| *at <= until) {
-        let Some(Reverse((_, service, chosen))) = endings.pop() else { return };
+    while flow_ends.peek().is_some_and(|Reverse((at, _, _))| *at <= until) {
+        let Some(Reverse((_, service, chosen))) = flow_ends.pop() else { return };
         if let Some(load) = loads.get_mut(&(service, chosen)) {
             *load -= 1;
         }
     }
 }
 
-fn take_sample(log: &FlowLog, loads: &Loads, at: Duration, samples: &mut [Vec<(Duration, f64)>]) {
+fn record_sample(log: &FlowLog, loads: &Loads, at: Duration, samples: &mut [Vec<(Duration, f64)>]) {
     for (service, samples) in samples.iter_mut().enumerate() {
         let members = log.members_at(service, at);
         let load = |agent: &u32| loads.get(&(service, *agent)).copied().unwrap_or(0);
         let loads: Vec<usize> = members.iter().map(load).collect();
-        samples.extend(largest_over_mean(&loads).map(|ratio| (at, ratio)));
+        samples.extend(max_to_mean_ratio(&loads).map(|ratio| (at, ratio)));
     }
 }
 
@@ -79,7 +79,7 @@
 }
 
 /// Mean imbalance of each service under an assigner that knows every load at every moment.
-pub(crate) fn all_knowing(log: &FlowLog, scenario: &Scenario) -> Vec<f64> {
+pub(crate) fn all_knowing_imbalance(log: &FlowLog, scenario: &Scenario) -> Vec<f64> {
     let services: Vec<usize> = log.flows.iter().map(|flow| flow.service).collect();
     let samples = replay(log, scenario, |index, members, loads| {
         least_loaded(services[index], members, loads)
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -16,7 +16,7 @@
     /// The service that it belongs to.
     pub service: String,
     /// Time that a request takes.
-    pub work: Duration,
+    pub processing_time: Duration,
     /// Requests that it works on at a time.
     pub slots: usize,
 }
@@ -26,8 +26,8 @@
     received: BytesMut,
     to_send: VecDeque<Bytes>,
     /// The flow takes one more chunk.
-    credit: bool,
-    finished: bool,
+    has_credit: bool,
+    peer_finished: bool,
 }
 
 /// A back end with its connections.
@@ -37,7 +37,7 @@
     connections: BTreeMap<FlowId, Connection>,
     dead: bool,
     waiting: VecDeque<(FlowId, RunningRequest)>,
-    busy: usize,
+    busy_slots: usize,
 }
 
 /// A request that a back end has begun to run.
@@ -46,7 +46,7 @@
     pub(crate) id: u64,
     pub(crate) size: usize,
     /// The request was meant for another service.
-    pub(crate) foreign: bool,
+    pub(crate) wrong_service: bool,
 }
 
 impl SimulatedBackend {
@@ -56,12 +56,12 @@
             connections: BTreeMap::new(),
             dead: false,
             waiting: VecDeque::new(),
-            busy: 0,
+            busy_slots: 0,
         }
     }
 
-    pub(crate) fn work(&self) -> Duration {
-        self.behaviour.work
+    pub(crate) fn processing_time(&self) -> Duration {
+        self.behaviour.processing_time
     }
 
     /// Whether it accepts connections.
@@ -78,7 +78,7 @@
     /// Accepts a connection unless it is dead.
     pub(crate) fn connect(&mut self, flow: FlowId) -> bool {
         if !self.dead {
-            let connection = Connection { credit: true, ..Connection::default() };
+            let connection = Connection { has_credit: true, ..Connection::default() };
             self.connections.insert(flow, connection);
         }
         !self.dead
@@ -88,21 +88,22 @@
         self.connections.remove(&flow);
     }
 
-    pub(crate) fn finish(&mut self, flow: FlowId) {
+    pub(crate) fn note_peer_finished(&mut self, flow: FlowId) {
         if let Some(connection) = self.connections.get_mut(&flow) {
-            connection.finished = true;
+            connection.peer_finished = true;
         }
     }
 
     /// Whether the flow has no more to say and its peer has finished.
-    pub(crate) fn is_over(&self, flow: FlowId) -> bool {
+    pub(crate) fn is_finished(&self, flow: FlowId) -> bool {
         let connection = self.connections.get(&flow);
-        connection.is_some_and(|connection| connection.finished && connection.to_send.is_empty())
+        connection
+            .is_some_and(|connection| connection.peer_finished && connection.to_send.is_empty())
     }
 
-    pub(crate) fn give_credit(&mut self, flow: FlowId) {
+    pub(crate) fn grant_credit(&mut self, flow: FlowId) {
         if let Some(connection) = self.connections.get_mut(&flow) {
-            connection.credit = true;
+            connection.has_credit = true;
         }
     }
 
@@ -119,30 +120,30 @@
             let id = words.next().and_then(|word| word.parse().ok());
             let size = words.next().and_then(|word| word.parse().ok());
             if let (Some(id), Some(size)) = (id, size) {
-                let foreign = words.next() != Some(self.behaviour.service.as_str());
-                self.waiting.push_back((flow, RunningRequest { id, size, foreign }));
+                let wrong_service = words.next() != Some(self.behaviour.service.as_str());
+                self.waiting.push_back((flow, RunningRequest { id, size, wrong_service }));
             }
         }
     }
 
     /// Starts the request that waits longest when a slot is free.
     pub(crate) fn start_next(&mut self) -> Option<(FlowId, RunningRequest)> {
-        if self.busy == self.behaviour.slots {
+        if self.busy_slots == self.behaviour.slots {
             return None;
         }
         let next = self.waiting.pop_front()?;
-        self.busy += 1;
+        self.busy_slots += 1;
         Some(next)
     }
 
     /// Requests that it works on now.
-    pub(crate) fn busy(&self) -> usize {
-        self.busy
+    pub(crate) fn busy_slots(&self) -> usize {
+        self.busy_slots
     }
 
     /// The work on a request is done: frees its slot and queues its answer.
     pub(crate) fn answer(&mut self, flow: FlowId, request: &RunningRequest) {
-        self.busy = self.busy.saturating_sub(1);
+        self.busy_slots = self.busy_slots.saturating_sub(1);
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
         };
@@ -156,13 +157,13 @@
     }
 
     /// The next chunk for a flow that takes one.
-    pub(crate) fn take_chunk(&mut self, flow: FlowId) -> Option<Bytes> {
+    pub(crate) fn next_chunk(&mut self, flow: FlowId) -> Option<Bytes> {
         let connection = self.connections.get_mut(&flow)?;
-        if !connection.credit {
+        if !connection.has_credit {
             return None;
         }
         let chunk = connection.to_send.pop_front()?;
-        connection.credit = false;
+        connection.has_credit = false;
         Some(chunk)
     }
 }
--- a/crates/lab/src/bin/loftdrift-lab.rs
+++ b/crates/lab/src/bin/loftdrift-lab.rs
@@ -3,8 +3,9 @@
 use anyhow::{Context, Result, bail};
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
 use loftdrift_lab::{
-    CarriedWorld, CarriedWorldSettings, Comparison, DayProfile, Plan, Policy, Report, Scenario,
-    Trace, compare, explore, random_day_with_evacuations, run, shrink, write_day_plot, write_plots,
+    CarriedWorld, CarriedWorldSettings, Comparison, EventProfile, Plan, Policy, Report, Scenario,
+    Trace, compare, explore, random_day_with_evacuations, run, shrink, write_plots,
+    write_profile_plot,
 };
 use pico_args::Arguments;
 use std::io::IsTerminal;
@@ -42,13 +43,13 @@
 
 const EXIT_MISSED: u8 = 1;
 const EXIT_USAGE: u8 = 2;
-const DEFAULT_EXPLORATIONS: u64 = 1_000;
+const DEFAULT_TIMELINES: u64 = 1_000;
 const DEFAULT_STEP_MS: i64 = 100;
 /// Columns of a day's table.
-const TABLE_KINDS: usize = 12;
-const PLOT_KINDS: [&str; 4] =
+const MAX_TABLE_COLUMNS: usize = 12;
+const PLOTTED_KINDS: [&str; 4] =
     ["opening_placed", "request_arrived", "offer_declined:busy", "opening_refused:busy"];
-const DEFAULT_OUT: &str = "failing.toml";
+const DEFAULT_OUT_FILE: &str = "failing.toml";
 
 fn main() -> ExitCode {
     match command() {
@@ -129,10 +130,10 @@
     if logs.is_empty() {
         bail!("no log named; see --help");
     }
-    let profile = DayProfile::of_logs(&logs, step_ms);
-    print!("{}", profile.table(TABLE_KINDS, from, to));
+    let profile = EventProfile::from_logs(&logs, step_ms);
+    print!("{}", profile.table(MAX_TABLE_COLUMNS, from, to));
     if let Some(file) = plot {
-        write_day_plot(std::path::Path::new(&file), &profile, &PLOT_KINDS)?;
+        write_profile_plot(std::path::Path::new(&file), &profile, &PLOTTED_KINDS)?;
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -161,7 +162,7 @@
     Ok(arguments.opt_value_from_str("--jobs")?.unwrap_or(1).max(1))
 }
 
-fn wants_json(arguments: &mut Arguments) -> Result<bool> {
+fn json_requested(arguments: &mut Arguments) -> Result<bool> {
     let format: Option<String> = arguments.opt_value_from_str("--format")?;
     match format.as_deref() {
         None | Some("table") => Ok(false),
@@ -170,7 +171,7 @@
     }
 }
 
-fn free_file(mut arguments: Arguments, what: &str) -> Result<String> {
+fn file_argument(mut arguments: Arguments, what: &str) -> Result<String> {
     let file = arguments.free_from_str().with_context(|| format!("give {what}"))?;
     let rest = arguments.finish();
     match rest.first() {
@@ -189,7 +190,7 @@
 }
 
 /// Does `work` for each number, on several threads; results in the order of numbers.
-fn for_each<T: Send>(
+fn map_in_parallel<T: Send>(
     numbers: std::ops::Range<u64>,
     jobs: usize,
     work: impl Fn(u64) -> T + Sync,
@@ -219,10 +220,10 @@
 fn run_command(mut arguments: Arguments) -> Result<ExitCode> {
     let seeds = seeds(&mut arguments)?;
     let jobs = jobs(&mut arguments)?;
-    let json = wants_json(&mut arguments)?;
-    let scenario = read_scenario(&free_file(arguments, "a scenario file")?)?;
+    let json = json_requested(&mut arguments)?;
+    let scenario = read_scenario(&file_argument(arguments, "a scenario file")?)?;
     let started = Instant::now();
-    let runs = for_each(seeds, jobs, |seed| run(&Plan::new(&scenario, seed)));
+    let runs = map_in_parallel(seeds, jobs, |seed| run(&Plan::new(&scenario, seed)));
     let elapsed = started.elapsed();
     let mut missed = false;
     let mut packets = 0;
@@ -240,11 +241,11 @@
 
 /// Prints a report; `true` when an outcome was missed.
 fn show_report(scenario: &Scenario, report: &Report, json: bool) -> Result<bool> {
-    let missed = report.missed(&scenario.expect);
+    let missed = report.missed_expectations(&scenario.expect);
     if json {
         println!("{}", serde_json::json!({ "report": report, "missed": missed }));
     } else {
-        print!("{}", report.lines());
+        print!("{}", report.summary());
         for outcome in &missed {
             println!("  MISSED with seed {}: {outcome}", report.seed);
         }
@@ -255,7 +256,7 @@
 fn compare_command(mut arguments: Arguments) -> Result<ExitCode> {
     let seeds = seeds(&mut arguments)?;
     let jobs = jobs(&mut arguments)?;
-    let json = wants_json(&mut arguments)?;
+    let json = json_requested(&mut arguments)?;
     let plots: Option<String> = arguments.opt_value_from_str("--plots")?;
     let names: Option<String> = arguments.opt_value_from_str("--policies")?;
     let policies = match names {
@@ -267,8 +268,8 @@
             names.split(',').map(parse).collect::<Result<Vec<Policy>>>()?
         }
     };
-    let scenario = read_scenario(&free_file(arguments, "a scenario file")?)?;
-    let compared = for_each(seeds, jobs, |seed| compare(&scenario, seed, &policies));
+    let scenario = read_scenario(&file_argument(arguments, "a scenario file")?)?;
+    let compared = map_in_parallel(seeds, jobs, |seed| compare(&scenario, seed, &policies));
     let compared = compared.into_iter().collect::<Result<Vec<Vec<Comparison>>>>()?;
     let services: Vec<String> = scenario.services.iter().map(|one| one.name.clone()).collect();
     if let (Some(folder), Some(first)) = (plots, compared.first()) {
@@ -304,23 +305,23 @@
 fn record_command(mut arguments: Arguments) -> Result<ExitCode> {
     let out: String = arguments.value_from_str("--out")?;
     let seed: u64 = arguments.opt_value_from_str("--seed")?.unwrap_or(1);
-    let scenario = read_scenario(&free_file(arguments, "a scenario file")?)?;
+    let scenario = read_scenario(&file_argument(arguments, "a scenario file")?)?;
     let plan = Plan::new(&scenario, seed);
     let report = run(&plan)?.report;
     let trace = Trace { plan, report };
     std::fs::write(&out, trace.write()).with_context(|| format!("cannot write {out}"))?;
-    print!("{}", trace.report.lines());
+    print!("{}", trace.report.summary());
     Ok(ExitCode::SUCCESS)
 }
 
 fn replay_command(arguments: Arguments) -> Result<ExitCode> {
-    let file = free_file(arguments, "a trace file")?;
+    let file = file_argument(arguments, "a trace file")?;
     let text = std::fs::read_to_string(&file).with_context(|| format!("cannot read {file}"))?;
     let trace = Trace::read(&text).with_context(|| file.clone())?;
     let report = run(&trace.plan)?.report;
     let missed = show_report(&trace.plan.scenario, &report, false)?;
     if report != trace.report {
-        println!("MISSED: the outcomes differ from the recorded ones:\n{}", trace.report.lines());
+        println!("MISSED: the outcomes differ from the recorded ones:\n{}", trace.report.summary());
         return Ok(ExitCode::from(EXIT_MISSED));
     }
     println!("the outcomes are the recorded ones");
@@ -328,16 +329,16 @@
 }
 
 fn explore_command(mut arguments: Arguments) -> Result<ExitCode> {
-    let count: u64 = arguments.opt_value_from_str("--count")?.unwrap_or(DEFAULT_EXPLORATIONS);
+    let count: u64 = arguments.opt_value_from_str("--count")?.unwrap_or(DEFAULT_TIMELINES);
     let seconds: Option<f64> = arguments.opt_value_from_str("--seconds")?;
     let first: u64 = arguments.opt_value_from_str("--first-seed")?.unwrap_or(1);
     let out: Option<String> = arguments.opt_value_from_str("--out")?;
     let jobs = jobs(&mut arguments)?;
-    let scenario = read_scenario(&free_file(arguments, "a scenario file")?)?;
+    let scenario = read_scenario(&file_argument(arguments, "a scenario file")?)?;
     let end = seconds.map(|seconds| Instant::now() + Duration::from_secs_f64(seconds));
     let is_over = || end.is_some_and(|end| Instant::now() >= end);
     let explored = AtomicU64::new(0);
-    let failures = for_each(first..first + count, jobs, |seed| {
+    let failures = map_in_parallel(first..first + count, jobs, |seed| {
         if is_over() {
             return Ok(None);
         }
@@ -349,16 +350,16 @@
     let failures: Vec<_> = failures.into_iter().flatten().collect();
     println!("{explored} timelines explored, {} broke a promise", failures.len());
     let Some(failing) = failures.into_iter().next() else { return Ok(ExitCode::SUCCESS) };
-    println!("seed {}: {}", failing.seed, failing.broken.join("; "));
+    println!("seed {}: {}", failing.seed, failing.violations.join("; "));
     let smallest = shrink(failing);
-    let out = out.unwrap_or_else(|| DEFAULT_OUT.to_owned());
+    let out = out.unwrap_or_else(|| DEFAULT_OUT_FILE.to_owned());
     let text = smallest.scenario.to_toml();
     std::fs::write(&out, text).with_context(|| format!("cannot write {out}"))?;
     println!(
         "shrunk to {} events: loftdrift-lab run {out} --seed {}: {}",
         smallest.scenario.events.len(),
         smallest.seed,
-        smallest.broken.join("; ")
+        smallest.violations.join("; ")
     );
     Ok(ExitCode::from(EXIT_MISSED))
 }
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -35,21 +35,21 @@
 #[derive(Debug)]
 pub(crate) struct CallerFlow {
     behaviour: CallerBehaviour,
-    requests_left: u32,
-    current: u64,
+    remaining_requests: u32,
+    current_id: u64,
     received: BytesMut,
-    body_left: Option<usize>,
+    remaining_bytes: Option<usize>,
     pub(crate) finished: bool,
 }
 
 impl CallerFlow {
     pub(crate) fn new(behaviour: CallerBehaviour) -> Self {
         CallerFlow {
-            requests_left: behaviour.requests,
+            remaining_requests: behaviour.requests,
             behaviour,
-            current: 0,
+            current_id: 0,
             received: BytesMut::new(),
-            body_left: None,
+            remaining_bytes: None,
             finished: false,
         }
     }
@@ -60,8 +60,8 @@
 
     /// The next request, with an identity that no other request has.
     pub(crate) fn next_request(&mut self, id: u64, outcome: &mut Outcome) -> Bytes {
-        self.current = id;
-        self.requests_left -= 1;
+        self.current_id = id;
+        self.remaining_requests -= 1;
         outcome.requests_sent += 1;
         let CallerBehaviour { answer_bytes, service, .. } = &self.behaviour;
         Bytes::from(format!("{id} {answer_bytes} {service}\n"))
@@ -70,37 +70,37 @@
     /// Takes bytes of an answer.
     pub(crate) fn receive(&mut self, bytes: &[u8], outcome: &mut Outcome) -> Progress {
         self.received.extend_from_slice(bytes);
-        if self.body_left.is_none() {
+        if self.remaining_bytes.is_none() {
             let Some(end) = self.received.iter().position(|byte| *byte == b'\n') else {
                 return Progress::Waiting;
             };
             let line = self.received.split_to(end + 1);
-            self.check_head(&String::from_utf8_lossy(&line), outcome);
-            self.body_left = Some(self.behaviour.answer_bytes);
+            self.check_header(&String::from_utf8_lossy(&line), outcome);
+            self.remaining_bytes = Some(self.behaviour.answer_bytes);
         }
-        let left = self.body_left.unwrap_or(0);
+        let left = self.remaining_bytes.unwrap_or(0);
         let taken = left.min(self.received.len());
-        let filler = body_byte(self.current);
+        let filler = body_byte(self.current_id);
         // Counting all of them is several times faster than stopping at the first.
         if self.received[..taken].iter().filter(|byte| **byte != filler).count() > 0 {
             outcome.wrong_answers += 1;
         }
         self.received.advance(taken);
-        self.body_left = Some(left - taken);
+        self.remaining_bytes = Some(left - taken);
         if left > taken {
             return Progress::Waiting;
         }
-        self.body_left = None;
+        self.remaining_bytes = None;
         outcome.answered_whole += 1;
-        if self.requests_left == 0 { Progress::Finished } else { Progress::NextRequest }
+        if self.remaining_requests == 0 { Progress::Finished } else { Progress::NextRequest }
     }
 
-    fn check_head(&self, line: &str, outcome: &mut Outcome) {
+    fn check_header(&self, line: &str, outcome: &mut Outcome) {
         let CallerBehaviour { answer_bytes, service, .. } = &self.behaviour;
         let mut words = line.split_whitespace();
         let id = words.next().and_then(|word| word.parse().ok());
         let size = words.next().and_then(|word| word.parse().ok());
-        if id != Some(self.current) || size != Some(*answer_bytes) {
+        if id != Some(self.current_id) || size != Some(*answer_bytes) {
             outcome.wrong_answers += 1;
         }
         if words.next() != Some(service.as_str()) {
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -38,7 +38,7 @@
     let ours = run(&Plan::new(scenario, seed))?;
     let compared = policies.iter().map(|policy| {
         let (broken, evaluated) = match policy {
-            Policy::Loftdrift => (ours.report.unexcused(), own_run(&ours)),
+            Policy::Loftdrift => (ours.report.unexplained_breaks(), loftdrift_policy_run(&ours)),
             other => {
                 let evaluated = evaluate(*other, &ours.log, scenario, seed);
                 (evaluated.broken_at.len() as u64, evaluated)
@@ -57,6 +57,6 @@
     Ok(compared.collect())
 }
 
-fn own_run(run: &Run) -> PolicyRun {
+fn loftdrift_policy_run(run: &Run) -> PolicyRun {
     PolicyRun { broken_at: run.broken_at.clone(), imbalance: run.imbalance.clone() }
 }
--- a/crates/lab/src/day_profile.rs
+++ b/crates/lab/src/event_profile.rs
@@ -6,28 +6,28 @@
 use std::fmt::Write;
 
 /// Events of one kind, told apart by the reason that they give.
-type Kind = String;
+type EventKind = String;
 
 /// Counts of events by kind in steps of equal length.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct DayProfile {
+pub struct EventProfile {
     /// Length of a step, in milliseconds.
     step_ms: i64,
     /// The first line's time of day, in milliseconds.
-    begins_ms: i64,
+    start_ms: i64,
     /// Counts by step, the first line's step being 0. A step without events has no row.
-    rows: BTreeMap<i64, HashMap<Kind, u64>>,
+    rows: BTreeMap<i64, HashMap<EventKind, u64>>,
 }
 
-impl DayProfile {
+impl EventProfile {
     /// Counts the lines of logs in steps of `step_ms` milliseconds, at least one; lines without a time
     /// or an event are passed over.
-    pub fn of_logs(logs: &[String], step_ms: i64) -> Self {
+    pub fn from_logs(logs: &[String], step_ms: i64) -> Self {
         let step_ms = step_ms.max(1);
         let lines = || logs.iter().flat_map(|log| log.lines()).map(|text| Line { text });
         let times = lines().filter_map(|line| line.milliseconds_of_day());
-        let begins_ms = times.min().unwrap_or(0);
-        let mut profile = DayProfile { step_ms, begins_ms, rows: BTreeMap::new() };
+        let start_ms = times.min().unwrap_or(0);
+        let mut profile = EventProfile { step_ms, start_ms, rows: BTreeMap::new() };
         for line in lines() {
             profile.count(&line);
         }
@@ -36,19 +36,19 @@
 
     fn count(&mut self, line: &Line<'_>) {
         let (Some(at), Some(kind)) = (line.milliseconds_of_day(), kind(line)) else { return };
-        let row = self.rows.entry((at - self.begins_ms) / self.step_ms).or_default();
+        let row = self.rows.entry((at - self.start_ms) / self.step_ms).or_default();
         *row.entry(kind).or_default() += 1;
     }
 
     /// The most frequent kinds, with how often each came.
-    pub fn kinds(&self, most: usize) -> Vec<(&str, u64)> {
+    pub fn kinds(&self, max_kinds: usize) -> Vec<(&str, u64)> {
         let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
         for (kind, count) in self.rows.values().flatten() {
             *totals.entry(kind).or_default() += count;
         }
         let mut kinds: Vec<_> = totals.into_iter().collect();
         kinds.sort_by_key(|(_, count)| std::cmp::Reverse(*count));
-        kinds.truncate(most);
+        kinds.truncate(max_kinds);
         kinds
     }
 
@@ -61,8 +61,8 @@
     }
 
     /// A table of the most frequent kinds between two moments, in seconds since the first line.
-    pub fn table(&self, most: usize, from: f64, to: f64) -> String {
-        let kinds: Vec<&str> = self.kinds(most).into_iter().map(|(kind, _)| kind).collect();
+    pub fn table(&self, max_kinds: usize, from: f64, to: f64) -> String {
+        let kinds: Vec<&str> = self.kinds(max_kinds).into_iter().map(|(kind, _)| kind).collect();
         // Writing to a string cannot fail.
         let mut table = String::new();
         let _ = writeln!(table, "seconds,{}", kinds.join(","));
@@ -81,7 +81,7 @@
     }
 }
 
-fn kind(line: &Line<'_>) -> Option<Kind> {
+fn kind(line: &Line<'_>) -> Option<EventKind> {
     let event = line.value("event")?;
     Some(match line.value("reason") {
         Some(reason) => format!("{event}:{reason}"),
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -9,8 +9,8 @@
 use rand_chacha::ChaCha8Rng;
 use std::time::Duration;
 
-const MOST_EVENTS: usize = 10;
-const LONGEST_FREEZE_SECONDS: f64 = 4.0;
+const MAX_EVENTS: usize = 10;
+const MAX_FREEZE_SECONDS: f64 = 4.0;
 
 /// A timeline that broke a promise.
 #[derive(Clone, Debug)]
@@ -20,7 +20,7 @@
     /// The seed.
     pub seed: u64,
     /// What did not hold.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
 }
 
 /// Runs the timeline that belongs to a seed; `None` when every promise held.
@@ -30,9 +30,9 @@
 
 /// Runs a scenario; fails when its timeline makes no sense, as with an event for a missing back end.
 fn failure(scenario: &Scenario, seed: u64) -> Result<Option<Failure>> {
-    let broken = run(&Plan::new(scenario, seed))?.report.broken_promises();
-    let failed = !broken.is_empty();
-    Ok(failed.then(|| Failure { scenario: scenario.clone(), seed, broken }))
+    let violations = run(&Plan::new(scenario, seed))?.report.violated_invariants();
+    let failed = !violations.is_empty();
+    Ok(failed.then(|| Failure { scenario: scenario.clone(), seed, violations }))
 }
 
 /// Leaves out events and flows for as long as the failure stays.
@@ -73,7 +73,7 @@
             }
             Action::FreezeAgent(..) => {}
         }
-        remaining.balancers > 0 && remaining.taking.iter().all(|names| !names.is_empty())
+        remaining.balancers > 0 && remaining.active.iter().all(|names| !names.is_empty())
     })
 }
 
@@ -95,8 +95,8 @@
 struct Remaining {
     balancers: u32,
     /// Names of back ends that take flows, per service.
-    taking: Vec<Vec<String>>,
-    added: Vec<u32>,
+    active: Vec<Vec<String>>,
+    backend_counts: Vec<u32>,
 }
 
 /// A timeline of events that a deployment must survive: a balancer and, in each service, a back
@@ -105,7 +105,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xE8B1);
     let mut scenario = base.clone();
     let mut remaining = Remaining::new(base);
-    let mut times: Vec<f64> = (0..random.random_range(1..=MOST_EVENTS))
+    let mut times: Vec<f64> = (0..random.random_range(1..=MAX_EVENTS))
         .map(|_| random.random_range(0.5..base.duration.as_secs_f64()))
         .collect();
     times.sort_unstable_by(f64::total_cmp);
@@ -123,20 +123,20 @@
         };
         Remaining {
             balancers: base.balancers,
-            taking: base.services.iter().map(names).collect(),
-            added: base.services.iter().map(|service| service.backends).collect(),
+            active: base.services.iter().map(names).collect(),
+            backend_counts: base.services.iter().map(|service| service.backends).collect(),
         }
     }
 
     fn add(&mut self, base: &Scenario, service: &str) {
-        let place = base.services.iter().position(|one| one.name == service);
-        let Some(place) = place else { return };
-        self.added[place] += 1;
-        self.taking[place].push(format!("{service}-{}", self.added[place]));
+        let index = base.services.iter().position(|one| one.name == service);
+        let Some(index) = index else { return };
+        self.backend_counts[index] += 1;
+        self.active[index].push(format!("{service}-{}", self.backend_counts[index]));
     }
 
     fn remove(&mut self, name: &str) {
-        self.taking.iter_mut().for_each(|names| names.retain(|known| known != name));
+        self.active.iter_mut().for_each(|names| names.retain(|known| known != name));
     }
 
     fn random_action(&mut self, base: &Scenario, random: &mut ChaCha8Rng) -> Action {
@@ -150,15 +150,15 @@
                 self.balancers -= 1;
                 Action::KillBalancer
             }
-            2 if self.taking[service].len() > 1 => {
+            2 if self.active[service].len() > 1 => {
                 let name = self.take(service, random);
                 Action::Command(format!("drain backend {name}"))
             }
-            3 if self.taking[service].len() > 2 => Action::KillAgent(self.take(service, random)),
-            4 if self.taking[service].len() > 2 => Action::KillBackend(self.take(service, random)),
+            3 if self.active[service].len() > 2 => Action::KillAgent(self.take(service, random)),
+            4 if self.active[service].len() > 2 => Action::KillBackend(self.take(service, random)),
             5 => {
-                let name = self.taking[service].choose(random).cloned().unwrap_or_default();
-                let time = random.random_range(0.1..LONGEST_FREEZE_SECONDS);
+                let name = self.active[service].choose(random).cloned().unwrap_or_default();
+                let time = random.random_range(0.1..MAX_FREEZE_SECONDS);
                 Action::FreezeAgent(name, Duration::from_secs_f64(time))
             }
             6 => {
@@ -174,7 +174,7 @@
     }
 
     fn take(&mut self, service: usize, random: &mut ChaCha8Rng) -> String {
-        let index = random.random_range(0..self.taking[service].len());
-        self.taking[service].remove(index)
+        let index = random.random_range(0..self.active[service].len());
+        self.active[service].remove(index)
     }
 }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -13,7 +13,7 @@
 mod caller;
 mod carried;
 mod compare;
-mod day_profile;
+mod event_profile;
 mod explore;
 mod flow_log;
 mod network;
@@ -36,13 +36,13 @@
     random_day_with_returns,
 };
 pub use compare::{Comparison, compare};
-pub use day_profile::DayProfile;
+pub use event_profile::EventProfile;
 pub use explore::{Failure, explore, shrink};
 pub use flow_log::{FlowLog, FlowSpan, Members};
 pub use network::NetworkSettings;
 pub use outcome::Outcome;
 pub use plan::{Plan, PlannedFlow};
-pub use plot::{PlotError, write_day_plot, write_plots};
+pub use plot::{PlotError, write_plots, write_profile_plot};
 pub use policies::Policy;
 pub use report::{Report, ServiceReport};
 pub use run::{Run, run, service_address};
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -23,7 +23,7 @@
     /// Answers or requests that reached another service.
     pub misdelivered: u64,
     /// How often each request ran.
-    pub runs: BTreeMap<u64, u64>,
+    pub executions: BTreeMap<u64, u64>,
 }
 
 impl fmt::Debug for Outcome {
@@ -39,16 +39,16 @@
             .field("answered_whole", &self.answered_whole)
             .field("wrong_answers", &self.wrong_answers)
             .field("misdelivered", &self.misdelivered)
-            .field("requests_run", &self.runs.len())
-            .field("doubled", &self.doubled())
+            .field("requests_run", &self.executions.len())
+            .field("doubled", &self.duplicate_executions())
             .finish()
     }
 }
 
 impl Outcome {
     /// Requests that ran more than once.
-    pub fn doubled(&self) -> u64 {
-        self.runs.values().filter(|runs| **runs > 1).count() as u64
+    pub fn duplicate_executions(&self) -> u64 {
+        self.executions.values().filter(|executions| **executions > 1).count() as u64
     }
 
     /// Flows that neither finished nor broke.
@@ -63,6 +63,6 @@
             && self.answered_whole == self.requests_sent
             && self.wrong_answers == 0
             && self.misdelivered == 0
-            && self.doubled() == 0
+            && self.duplicate_executions() == 0
     }
 }
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -44,11 +44,11 @@
         let mut flows = Vec::new();
         for (index, service) in scenario.services.iter().enumerate() {
             let mut open = |at: f64, random: &mut ChaCha8Rng| {
-                let (least, most) = service.requests;
+                let (min, max) = service.requests;
                 flows.push(PlannedFlow {
                     at_micros: (at * 1e6) as u64,
                     service: index,
-                    requests: random.random_range(least..=most),
+                    requests: random.random_range(min..=max),
                     timestamps: random.random_bool(service.timestamps),
                 });
             };
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,7 +1,7 @@
 //! Plots of a comparison as SVG files.
 
 use crate::compare::Comparison;
-use crate::day_profile::DayProfile;
+use crate::event_profile::EventProfile;
 use plotters::prelude::{
     ChartBuilder, DrawingAreaErrorKind, IntoDrawingArea, LineSeries, Palette, Palette99,
     PathElement, SVGBackend, SeriesLabelPosition, WHITE,
@@ -11,8 +11,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-const SIZE: (u32, u32) = (900, 480);
-const LABEL_LENGTH: i32 = 20;
+const PLOT_SIZE_PX: (u32, u32) = (900, 480);
+const LEGEND_LINE_PX: i32 = 20;
 
 /// A plot could not be written.
 #[derive(Debug, Error)]
@@ -54,9 +54,9 @@
 }
 
 /// Writes one file with a curve for each of some kinds of events of a day.
-pub fn write_day_plot(
+pub fn write_profile_plot(
     file: &Path,
-    profile: &DayProfile,
+    profile: &EventProfile,
     kinds: &[&'static str],
 ) -> Result<(), PlotError> {
     let curve = |kind: &&'static str| Curve {
@@ -81,7 +81,7 @@
     let points = || curves.iter().flat_map(|curve| &curve.points);
     let right = points().map(|(x, _)| *x).fold(1.0, f64::max);
     let top = points().map(|(_, y)| *y).fold(1.0, f64::max) * 1.05;
-    let area = SVGBackend::new(file, SIZE).into_drawing_area();
+    let area = SVGBackend::new(file, PLOT_SIZE_PX).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18))
@@ -95,7 +95,7 @@
         chart
             .draw_series(LineSeries::new(curve.points.iter().copied(), colour))?
             .label(curve.name)
-            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + LABEL_LENGTH, y)], colour));
+            .legend(move |(x, y)| PathElement::new(vec![(x, y), (x + LEGEND_LINE_PX, y)], colour));
     }
     chart
         .configure_series_labels()
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 /// Load pages tell the load of so long ago.
-const LOAD_LAG: Duration = Duration::from_secs(1);
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// Entries of the Maglev-style table, a prime well above the number of back ends.
-const MAGLEV_ENTRIES: usize = 1_021;
+const MAGLEV_TABLE_SIZE: usize = 1_021;
 
 /// A policy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -68,7 +68,7 @@
 
 /// Evaluates a policy other than loftdrift itself.
 pub(crate) fn evaluate(policy: Policy, log: &FlowLog, scenario: &Scenario, seed: u64) -> PolicyRun {
-    let mut picker = Picker { tables: HashMap::new() };
+    let mut picker = StatelessPicker { tables: HashMap::new() };
     match policy {
         Policy::AllKnowing | Policy::Loftdrift => PolicyRun {
             broken_at: Vec::new(),
@@ -78,10 +78,10 @@
         },
         Policy::StaleChoices => PolicyRun {
             broken_at: Vec::new(),
-            imbalance: replay(log, scenario, stale_choices(log)),
+            imbalance: replay(log, scenario, stale_two_choices(log)),
         },
         Policy::HashModulo | Policy::Rendezvous | Policy::Maglev | Policy::FlowTable => {
-            let views = Views::new(log, scenario, seed);
+            let views = MemberViews::new(log, scenario, seed);
             let mut run = PolicyRun {
                 broken_at: Vec::new(),
                 imbalance: replay(log, scenario, |index, members, _| {
@@ -90,7 +90,7 @@
             };
             let mut random = ChaCha8Rng::seed_from_u64(seed);
             for (index, flow) in log.flows.iter().enumerate() {
-                run.broken_at.extend(break_time(
+                run.broken_at.extend(first_break(
                     policy,
                     &mut picker,
                     &views,
@@ -106,29 +106,29 @@
 }
 
 /// When a flow's packet first reaches another back end than its first packet did.
-fn break_time(
+fn first_break(
     policy: Policy,
-    picker: &mut Picker,
-    views: &Views<'_>,
+    picker: &mut StatelessPicker,
+    views: &MemberViews<'_>,
     index: usize,
     flow: &FlowSpan,
     random: &mut ChaCha8Rng,
 ) -> Option<Duration> {
     let packets = flow.packets.max(1);
-    let mut home = None;
-    let mut pins: HashMap<usize, u32> = HashMap::new();
+    let mut first_choice = None;
+    let mut pinned: HashMap<usize, u32> = HashMap::new();
     for packet in 0..packets {
         let at = flow.opened + (flow.ended - flow.opened) * packet / packets;
         let balancer = random.random_range(0..views.balancers());
         let members = views.members(balancer, flow.service, at);
         let picked = picker.pick(policy, index, flow.service, members);
         let chosen = match policy {
-            Policy::FlowTable => picked.map(|picked| *pins.entry(balancer).or_insert(picked)),
+            Policy::FlowTable => picked.map(|picked| *pinned.entry(balancer).or_insert(picked)),
             _ => picked,
         };
-        match (home, chosen) {
-            (None, chosen) => home = chosen,
-            (Some(home), chosen) if chosen != Some(home) => return Some(at),
+        match (first_choice, chosen) {
+            (None, chosen) => first_choice = chosen,
+            (Some(first_choice), chosen) if chosen != Some(first_choice) => return Some(at),
             _ => {}
         }
     }
@@ -136,13 +136,13 @@
 }
 
 /// What each balancer believes the members to be: changes reach it after a time of their own.
-struct Views<'a> {
+struct MemberViews<'a> {
     log: &'a FlowLog,
     /// Per balancer, when each change of members reaches it.
     arrivals: Vec<Vec<Duration>>,
 }
 
-impl<'a> Views<'a> {
+impl<'a> MemberViews<'a> {
     fn new(log: &'a FlowLog, scenario: &Scenario, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0x51E0);
         let lag = scenario.configuration_lag;
@@ -153,7 +153,7 @@
             };
             (0..log.members.len()).map(arrive).collect()
         });
-        Views { log, arrivals: arrivals.collect() }
+        MemberViews { log, arrivals: arrivals.collect() }
     }
 
     fn balancers(&self) -> usize {
@@ -167,12 +167,12 @@
 }
 
 /// Chooses without state.
-struct Picker {
+struct StatelessPicker {
     /// Maglev tables by service and members.
     tables: HashMap<(usize, Vec<u32>), Vec<u32>>,
 }
 
-impl Picker {
+impl StatelessPicker {
     fn pick(
         &mut self,
         policy: Policy,
@@ -200,24 +200,24 @@
 
 /// Maglev's filling: members take turns to claim the next free entry of their own permutation.
 fn maglev_table(members: &[u32]) -> Vec<u32> {
-    let mut table: Vec<Option<u32>> = vec![None; MAGLEV_ENTRIES];
+    let mut table: Vec<Option<u32>> = vec![None; MAGLEV_TABLE_SIZE];
     let steps = members.iter().map(|agent| {
-        let offset = hash(1, u64::from(*agent)) as usize % MAGLEV_ENTRIES;
-        let skip = hash(2, u64::from(*agent)) as usize % (MAGLEV_ENTRIES - 1) + 1;
+        let offset = hash(1, u64::from(*agent)) as usize % MAGLEV_TABLE_SIZE;
+        let skip = hash(2, u64::from(*agent)) as usize % (MAGLEV_TABLE_SIZE - 1) + 1;
         (offset, skip)
     });
     let steps: Vec<(usize, usize)> = steps.collect();
     let mut next = vec![0; members.len()];
     let mut filled = 0;
-    while filled < MAGLEV_ENTRIES {
+    while filled < MAGLEV_TABLE_SIZE {
         for (index, agent) in members.iter().enumerate() {
             let (offset, skip) = steps[index];
-            let mut entry = (offset + next[index] * skip) % MAGLEV_ENTRIES;
-            while table[entry].is_some() && filled < MAGLEV_ENTRIES {
+            let mut entry = (offset + next[index] * skip) % MAGLEV_TABLE_SIZE;
+            while table[entry].is_some() && filled < MAGLEV_TABLE_SIZE {
                 next[index] += 1;
-                entry = (offset + next[index] * skip) % MAGLEV_ENTRIES;
+                entry = (offset + next[index] * skip) % MAGLEV_TABLE_SIZE;
             }
-            if filled < MAGLEV_ENTRIES {
+            if filled < MAGLEV_TABLE_SIZE {
                 table[entry] = Some(*agent);
                 next[index] += 1;
                 filled += 1;
@@ -228,20 +228,20 @@
 }
 
 /// Two random choices on loads that were true at the last whole second.
-fn stale_choices(log: &FlowLog) -> impl FnMut(usize, &[u32], &Loads) -> Option<u32> {
-    let mut shown = Loads::new();
+fn stale_two_choices(log: &FlowLog) -> impl FnMut(usize, &[u32], &Loads) -> Option<u32> {
+    let mut reported = Loads::new();
     let mut next_refresh = Duration::ZERO;
     move |index, members, loads| {
         let flow = &log.flows[index];
         if flow.opened >= next_refresh {
-            shown.clone_from(loads);
-            next_refresh = flow.opened + LOAD_LAG;
+            reported.clone_from(loads);
+            next_refresh = flow.opened + LOAD_REPORT_INTERVAL;
         }
         if members.is_empty() {
             return None;
         }
         let choice = |salt| members[hash(salt, index as u64) as usize % members.len()];
-        least_loaded(flow.service, &[choice(3), choice(4)], &shown)
+        least_loaded(flow.service, &[choice(3), choice(4)], &reported)
     }
 }
 
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -53,15 +53,15 @@
 
 impl Report {
     /// Broken flows that no dead agent or back end accounts for, and flows that never ended.
-    pub fn unexcused(&self) -> u64 {
+    pub fn unexplained_breaks(&self) -> u64 {
         self.flows_broken.saturating_sub(self.flows_lost) + self.flows_unfinished
     }
 
     /// What always holds and does not hold here.
-    pub fn broken_promises(&self) -> Vec<String> {
+    pub fn violated_invariants(&self) -> Vec<String> {
         let mut broken = Vec::new();
         for (name, count) in [
-            ("flows broken though their back end lived", self.unexcused()),
+            ("flows broken though their back end lived", self.unexplained_breaks()),
             ("wrong answers", self.wrong_answers),
             ("misdelivered", self.misdelivered),
             ("requests run twice", self.doubled),
@@ -75,10 +75,11 @@
     }
 
     /// Stated outcomes that were missed.
-    pub fn missed(&self, expect: &Expectations) -> Vec<String> {
-        let mut missed = self.broken_promises();
-        if let Some(most) = expect.flows_broken.filter(|most| self.unexcused() > *most) {
-            missed.push(format!("{} flows broken, stated at most {most}", self.unexcused()));
+    pub fn missed_expectations(&self, expect: &Expectations) -> Vec<String> {
+        let mut missed = self.violated_invariants();
+        if let Some(most) = expect.flows_broken.filter(|most| self.unexplained_breaks() > *most) {
+            missed
+                .push(format!("{} flows broken, stated at most {most}", self.unexplained_breaks()));
         }
         for service in &self.services {
             let ratio = service.imbalance / service.all_knowing;
@@ -99,7 +100,7 @@
     }
 
     /// One line a service, for people.
-    pub fn lines(&self) -> String {
+    pub fn summary(&self) -> String {
         let mut text = format!(
             "seed {}: {} flows, {} broken ({} by death of their back end), {} requests, {} whole, \
              {} doubled, {:.3} extra hops, {} datagrams\n",
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,6 +1,6 @@
 //! Runs a plan and reports.
 
-use crate::assigner::{all_knowing, mean};
+use crate::assigner::{all_knowing_imbalance, mean};
 use crate::backend::BackendBehaviour;
 use crate::caller::CallerBehaviour;
 use crate::flow_log::{FlowLog, FlowSpan, Members};
@@ -22,16 +22,16 @@
 /// How often loads are sampled.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// A back end that leaves opens no flow later than this after the acceptance.
-const LEAVING_BOUND: Duration = Duration::from_secs(3);
+const LEAVING_GRACE: Duration = Duration::from_secs(3);
 /// The fabric turns away from a dead balancer after so long.
-const FABRIC_DETECTION: Duration = Duration::from_millis(300);
+const FABRIC_FAILOVER: Duration = Duration::from_millis(300);
 /// A stopped balancer forwards for so long.
 const BALANCER_DRAIN: Duration = Duration::from_secs(1);
 /// Time for the last flows to end after no more are opened.
-const LONGEST_TAIL: Duration = Duration::from_secs(600);
+const MAX_TAIL_DURATION: Duration = Duration::from_secs(600);
 const TAIL_STEP: Duration = Duration::from_secs(5);
 const FLOW_BUFFER_BYTES: usize = 4 * 1024;
-const FIRST_SERVICE: u32 = 0x0A14_0000;
+const SERVICE_ADDRESS_BASE: u32 = 0x0A14_0000;
 const SERVICE_PORT: u16 = 80;
 
 /// What a run has shown, with the log of its flows.
@@ -49,30 +49,30 @@
 
 /// Samples of one service: largest share over the mean.
 #[derive(Clone, Debug, Default)]
-struct SampledService {
+struct ServiceSamples {
     flows: Vec<(Duration, f64)>,
     busy: Vec<(Duration, f64)>,
 }
 
 /// What the scripts of a run share.
-struct Shared {
+struct RunState {
     scenario: Scenario,
     random: ChaCha8Rng,
     configuration: Configuration,
     /// Numbers of agents by the names of their back ends.
     agents: BTreeMap<String, u32>,
     /// Agents that are dead or whose back end is.
-    dead: BTreeSet<u32>,
+    dead_agents: BTreeSet<u32>,
     next_balancer: u32,
     members: Vec<Members>,
     /// Agents that are leaving, with the flows that they had opened when they had to have stopped.
-    left: Vec<(u32, u64)>,
+    drain_baselines: Vec<(u32, u64)>,
     flows: Vec<(FlowId, usize, Duration, u32)>,
-    sampled: Vec<SampledService>,
-    problems: Vec<String>,
+    samples: Vec<ServiceSamples>,
+    errors: Vec<String>,
 }
 
-type SharedCell = Rc<RefCell<Shared>>;
+type SharedState = Rc<RefCell<RunState>>;
 
 /// Runs a plan to the end of its last flow.
 pub fn run(plan: &Plan) -> Result<Run> {
@@ -84,41 +84,41 @@
         unknown_grace: scenario.unknown_grace,
         flow_buffer_bytes: FLOW_BUFFER_BYTES,
     })?;
-    let shared = Rc::new(RefCell::new(Shared {
+    let shared = Rc::new(RefCell::new(RunState {
         scenario: scenario.clone(),
         random: ChaCha8Rng::seed_from_u64(plan.seed ^ 0x5EED),
         configuration: Configuration::default(),
         agents: BTreeMap::new(),
-        dead: BTreeSet::new(),
+        dead_agents: BTreeSet::new(),
         next_balancer: 0,
         members: Vec::new(),
-        left: Vec::new(),
+        drain_baselines: Vec::new(),
         flows: Vec::new(),
-        sampled: vec![SampledService::default(); scenario.services.len()],
-        problems: Vec::new(),
+        samples: vec![ServiceSamples::default(); scenario.services.len()],
+        errors: Vec::new(),
     }));
-    start(&mut world, &shared)?;
-    schedule(&mut world, &shared, plan);
+    set_up(&mut world, &shared)?;
+    schedule_plan(&mut world, &shared, plan);
     world.run_until(scenario.duration);
-    let give_up = scenario.duration + LONGEST_TAIL;
+    let give_up = scenario.duration + MAX_TAIL_DURATION;
     while world.outcome().flows_unfinished() > 0 && world.now() < give_up {
         let next = world.now() + TAIL_STEP;
         world.run_until(next);
     }
     // A script that was never run holds the last other reference.
     let shared = shared.borrow();
-    if let Some(problem) = shared.problems.first() {
+    if let Some(problem) = shared.errors.first() {
         return Err(anyhow!("{problem}"));
     }
-    Ok(conclude(&world, &shared, plan))
+    Ok(build_run(&world, &shared, plan))
 }
 
 /// The address of the service in that place of the scenario.
 pub fn service_address(index: usize) -> SocketAddrV4 {
-    SocketAddrV4::new(Ipv4Addr::from(FIRST_SERVICE + index as u32 + 1), SERVICE_PORT)
+    SocketAddrV4::new(Ipv4Addr::from(SERVICE_ADDRESS_BASE + index as u32 + 1), SERVICE_PORT)
 }
 
-fn start(world: &mut World, shared: &SharedCell) -> Result<()> {
+fn set_up(world: &mut World, shared: &SharedState) -> Result<()> {
     let mut state = shared.borrow_mut();
     let services = state.scenario.services.clone();
     let mut script = String::new();
@@ -131,7 +131,7 @@
             script.push_str(&state.add_backend(world, &service.name)?);
         }
     }
-    state.accept(Duration::ZERO, &script).context("the scenario's services")?;
+    state.apply_script(Duration::ZERO, &script).context("the scenario's services")?;
     for _ in 0..state.scenario.balancers {
         state.next_balancer += 1;
         world.add_balancer(state.next_balancer);
@@ -141,10 +141,10 @@
     Ok(())
 }
 
-fn schedule(world: &mut World, shared: &SharedCell, plan: &Plan) {
+fn schedule_plan(world: &mut World, shared: &SharedState, plan: &Plan) {
     for flow in plan.flows.clone() {
         let cell = Rc::clone(shared);
-        world.at(flow.at(), move |world| {
+        world.schedule(flow.at(), move |world| {
             let mut state = cell.borrow_mut();
             let service = &state.scenario.services[flow.service];
             let behaviour = CallerBehaviour {
@@ -160,22 +160,22 @@
     }
     for event in plan.scenario.events.clone() {
         let cell = Rc::clone(shared);
-        world.at(event.at, move |world| {
-            if let Err(problem) = carry_out(world, &cell, &event.action) {
+        world.schedule(event.at, move |world| {
+            if let Err(problem) = apply_action(world, &cell, &event.action) {
                 let at = event.at.as_secs_f64();
-                cell.borrow_mut().problems.push(format!("event at {at} s: {problem:#}"));
+                cell.borrow_mut().errors.push(format!("event at {at} s: {problem:#}"));
             }
         });
     }
     let mut at = plan.scenario.warm_up;
     while at < plan.scenario.duration {
         let cell = Rc::clone(shared);
-        world.at(at, move |world| cell.borrow_mut().sample(world));
+        world.schedule(at, move |world| cell.borrow_mut().sample(world));
         at += SAMPLE_INTERVAL;
     }
 }
 
-fn carry_out(world: &mut World, shared: &SharedCell, action: &Action) -> Result<()> {
+fn apply_action(world: &mut World, shared: &SharedState, action: &Action) -> Result<()> {
     let mut state = shared.borrow_mut();
     let now = world.now();
     match action {
@@ -183,10 +183,10 @@
             let oldest = *world.balancers_in_use().first().context("no balancer is left")?;
             if *action == Action::KillBalancer {
                 world.kill_balancer(oldest);
-                world.at(now + FABRIC_DETECTION, move |world| world.withdraw_balancer(oldest));
+                world.schedule(now + FABRIC_FAILOVER, move |world| world.withdraw_balancer(oldest));
             } else {
                 world.withdraw_balancer(oldest);
-                world.at(now + BALANCER_DRAIN, move |world| world.kill_balancer(oldest));
+                world.schedule(now + BALANCER_DRAIN, move |world| world.kill_balancer(oldest));
             }
         }
         Action::StartBalancer => {
@@ -196,32 +196,32 @@
             world.configure_balancer(number, &state.configuration);
         }
         Action::Command(script) => {
-            state.accept(now, script)?;
-            state.spread(world, shared);
+            state.apply_script(now, script)?;
+            state.distribute(world, shared);
         }
         Action::AddBackend(service) => {
             let service = service.clone();
             let statement = state.add_backend(world, &service)?;
-            state.accept(now, &statement)?;
-            state.spread(world, shared);
+            state.apply_script(now, &statement)?;
+            state.distribute(world, shared);
         }
         Action::KillAgent(name) => {
-            let number = state.agent(name)?;
+            let number = state.agent_number(name)?;
             world.kill_agent(number);
             state.note_death(now, number);
         }
         Action::KillBackend(name) => {
-            let number = state.agent(name)?;
+            let number = state.agent_number(name)?;
             world.kill_backend(number);
             state.note_death(now, number);
         }
-        Action::FreezeAgent(name, time) => world.freeze_agent(state.agent(name)?, *time),
+        Action::FreezeAgent(name, time) => world.freeze_agent(state.agent_number(name)?, *time),
     }
     Ok(())
 }
 
-impl Shared {
-    fn agent(&self, name: &str) -> Result<u32> {
+impl RunState {
+    fn agent_number(&self, name: &str) -> Result<u32> {
         self.agents.get(name).copied().with_context(|| format!("there is no back end `{name}`"))
     }
 
@@ -237,7 +237,7 @@
         let site = if number > settings.left_backends as usize { "right" } else { "left" };
         let behaviour = BackendBehaviour {
             service: service.to_owned(),
-            work: settings.work,
+            processing_time: settings.processing_time,
             slots: slots as usize,
         };
         world.add_agent(agent, &name, behaviour)?;
@@ -249,7 +249,7 @@
         ))
     }
 
-    fn accept(&mut self, now: Duration, script: &str) -> Result<()> {
+    fn apply_script(&mut self, now: Duration, script: &str) -> Result<()> {
         let mut statements = parse_script("scenario", script)?;
         stamp(&mut statements, now.as_secs());
         let edited = apply(&self.configuration, &statements);
@@ -262,7 +262,7 @@
     }
 
     /// Has every node learn the newest configuration, each after its own time.
-    fn spread(&mut self, world: &mut World, shared: &SharedCell) {
+    fn distribute(&mut self, world: &mut World, shared: &SharedState) {
         let now = world.now();
         self.note_members(now);
         let newest = Rc::new(self.configuration.clone());
@@ -270,71 +270,72 @@
         for number in 1..=self.next_balancer {
             let newest = Rc::clone(&newest);
             let at = now + lag.mul_f64(self.random.random::<f64>());
-            world.at(at, move |world| world.configure_balancer(number, &newest));
+            world.schedule(at, move |world| world.configure_balancer(number, &newest));
         }
         for number in self.agents.values().copied() {
             let newest = Rc::clone(&newest);
             let at = now + lag.mul_f64(self.random.random::<f64>());
-            world.at(at, move |world| world.configure_agent(number, &newest));
+            world.schedule(at, move |world| world.configure_agent(number, &newest));
         }
-        for number in self.leaving() {
+        for number in self.leaving_agents() {
             let cell = Rc::clone(shared);
-            world.at(now + LEAVING_BOUND, move |world| {
+            world.schedule(now + LEAVING_GRACE, move |world| {
                 let opened = world.agent(number).map_or(0, |agent| agent.counters.flows_opened);
-                cell.borrow_mut().left.push((number, opened));
+                cell.borrow_mut().drain_baselines.push((number, opened));
             });
         }
     }
 
-    fn leaving(&self) -> Vec<u32> {
+    fn leaving_agents(&self) -> Vec<u32> {
         let backends = self.configuration.services.values().flat_map(|one| &one.backends);
         let leaving = backends.filter(|(_, backend)| backend.state == BackendState::Leaving);
         leaving.filter_map(|(name, _)| self.agents.get(name).copied()).collect()
     }
 
     /// Numbers of the agents of a service that take new flows.
-    fn taking(&self, service: usize) -> Vec<u32> {
+    fn accepting_agents(&self, service: usize) -> Vec<u32> {
         let name = &self.scenario.services[service].name;
         let Some(service) = self.configuration.services.get(name) else { return Vec::new() };
-        let taking = service.backends.iter().filter(|(_, one)| one.state.takes_new_flows());
-        let numbers = taking.filter_map(|(name, _)| self.agents.get(name).copied());
-        numbers.filter(|number| !self.dead.contains(number)).collect()
+        let accepting = service.backends.iter().filter(|(_, one)| one.state.takes_new_flows());
+        let numbers = accepting.filter_map(|(name, _)| self.agents.get(name).copied());
+        numbers.filter(|number| !self.dead_agents.contains(number)).collect()
     }
 
     /// Dead back ends count neither as members nor in the mean.
     fn note_death(&mut self, at: Duration, number: u32) {
-        self.dead.insert(number);
+        self.dead_agents.insert(number);
         self.note_members(at);
     }
 
     fn note_members(&mut self, at: Duration) {
-        let services = (0..self.scenario.services.len()).map(|service| self.taking(service));
+        let services =
+            (0..self.scenario.services.len()).map(|service| self.accepting_agents(service));
         let services = services.collect();
         self.members.push(Members { at, services });
     }
 
     fn sample(&mut self, world: &World) {
         for service in 0..self.scenario.services.len() {
-            let taking = self.taking(service);
+            let accepting = self.accepting_agents(service);
             let flows = |number: &u32| world.agent(*number).map_or(0, |agent| agent.flow_count());
-            let flows = largest_over_mean(&taking.iter().map(flows).collect::<Vec<_>>());
+            let flows = max_to_mean_ratio(&accepting.iter().map(flows).collect::<Vec<_>>());
             let busy = |number: &u32| world.busy_slots(*number);
-            let busy = largest_over_mean(&taking.iter().map(busy).collect::<Vec<_>>());
-            let sampled = &mut self.sampled[service];
-            sampled.flows.extend(flows.map(|ratio| (world.now(), ratio)));
-            sampled.busy.extend(busy.map(|ratio| (world.now(), ratio)));
+            let busy = max_to_mean_ratio(&accepting.iter().map(busy).collect::<Vec<_>>());
+            let samples = &mut self.samples[service];
+            samples.flows.extend(flows.map(|ratio| (world.now(), ratio)));
+            samples.busy.extend(busy.map(|ratio| (world.now(), ratio)));
         }
     }
 }
 
 /// The largest over the mean; `None` when all are zero.
-pub(crate) fn largest_over_mean(loads: &[usize]) -> Option<f64> {
+pub(crate) fn max_to_mean_ratio(loads: &[usize]) -> Option<f64> {
     let total: usize = loads.iter().sum();
     let largest = loads.iter().copied().max()?;
     (total > 0).then(|| largest as f64 * loads.len() as f64 / total as f64)
 }
 
-fn conclude(world: &World, shared: &Shared, plan: &Plan) -> Run {
+fn build_run(world: &World, shared: &RunState, plan: &Plan) -> Run {
     let flows = shared.flows.iter().map(|(id, service, opened, requests)| FlowSpan {
         opened: *opened,
         ended: world.ended_at(*id).unwrap_or_else(|| world.now()),
@@ -342,14 +343,14 @@
         packets: *requests,
     });
     let log = FlowLog { flows: flows.collect(), members: shared.members.clone() };
-    let bound = all_knowing(&log, &plan.scenario);
+    let ideal_imbalance = all_knowing_imbalance(&log, &plan.scenario);
     let services = shared.scenario.services.iter().enumerate().map(|(index, service)| {
-        let sampled = &shared.sampled[index];
+        let samples = &shared.samples[index];
         ServiceReport {
             name: service.name.clone(),
-            imbalance: mean(&sampled.flows),
-            all_knowing: bound[index],
-            busy_imbalance: mean(&sampled.busy),
+            imbalance: mean(&samples.flows),
+            all_knowing: ideal_imbalance[index],
+            busy_imbalance: mean(&samples.busy),
         }
     });
     let counters = shared.agents.values().filter_map(|number| world.agent(*number));
@@ -358,7 +359,7 @@
         passed_on += agent.counters.passed_on;
         delivered += agent.counters.delivered;
     }
-    let opened_after = shared.left.iter().map(|(number, opened)| {
+    let opened_after = shared.drain_baselines.iter().map(|(number, opened)| {
         let now = world.agent(*number).map_or(*opened, |agent| agent.counters.flows_opened);
         now.saturating_sub(*opened)
     });
@@ -374,12 +375,12 @@
         answered_whole: outcome.answered_whole,
         wrong_answers: outcome.wrong_answers,
         misdelivered: outcome.misdelivered,
-        doubled: outcome.doubled(),
+        doubled: outcome.duplicate_executions(),
         opened_after_leaving: opened_after.sum(),
         extra_hops: if delivered == 0 { 0.0 } else { passed_on as f64 / delivered as f64 },
         packets: world.packets(),
         services: services.collect(),
     };
-    let imbalance = shared.sampled.iter().map(|sampled| sampled.flows.clone()).collect();
+    let imbalance = shared.samples.iter().map(|samples| samples.flows.clone()).collect();
     Run { report, log, imbalance, broken_at: world.broken_at().to_vec() }
 }
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -60,7 +60,7 @@
     /// Size of each answer, in bytes.
     pub answer_bytes: usize,
     /// Time that a request takes.
-    pub work: Duration,
+    pub processing_time: Duration,
     /// Share of flows that offer TCP timestamps, from 0 to 1.
     pub timestamps: f64,
 }
@@ -117,19 +117,16 @@
             Err(error) => {
                 let offset = error.span().map_or(0, |span| span.start);
                 findings.add(offset, error.message().trim().to_owned(), "a TOML document");
-                return Err(findings
-                    .finish(())
-                    .err()
-                    .unwrap_or_else(|| unreachable_findings(file)));
+                return Err(findings.finish(()).err().unwrap_or_else(|| empty_findings(file)));
             }
         };
-        let none = Overrides::default();
-        let mut reader = Reader::new(&mut findings, document.as_table(), &none);
-        let scenario = read_scenario(&mut reader, &none);
+        let no_overrides = Overrides::default();
+        let mut reader = Reader::new(&mut findings, document.as_table(), &no_overrides);
+        let scenario = read_scenario(&mut reader, &no_overrides);
         reader.finish();
         match scenario {
             Some(scenario) => findings.finish(scenario),
-            None => Err(findings.finish(()).err().unwrap_or_else(|| unreachable_findings(file))),
+            None => Err(findings.finish(()).err().unwrap_or_else(|| empty_findings(file))),
         }
     }
 
@@ -174,7 +171,7 @@
                 service.requests.1,
                 seconds(service.pause),
                 service.answer_bytes,
-                seconds(service.work),
+                seconds(service.processing_time),
                 service.timestamps,
             );
         }
@@ -221,13 +218,13 @@
 }
 
 /// A reader that returns nothing has recorded a finding, so this is not reached.
-fn unreachable_findings(file: &str) -> Findings {
+fn empty_findings(file: &str) -> Findings {
     Findings { file: file.to_owned(), list: Vec::new() }
 }
 
 // Each reader below asks for every setting before the first `?`, so that all findings are made.
 
-fn read_scenario(reader: &mut Reader<'_, '_>, none: &Overrides) -> Option<Scenario> {
+fn read_scenario(reader: &mut Reader<'_, '_>, no_overrides: &Overrides) -> Option<Scenario> {
     let name = reader.text("name");
     let duration = reader.seconds("seconds", 60.0);
     let warm_up = reader.seconds("warm_up_seconds", 2.0);
@@ -237,18 +234,20 @@
     let configuration_lag = reader.seconds("configuration_lag_seconds", 2.0);
     let empty = Table::new();
     let network = reader.table("network").unwrap_or(&empty);
-    let network = read_inner(reader, network, none, read_network);
+    let network = read_table(reader, network, no_overrides, read_network);
     let expect = reader.table("expect").unwrap_or(&empty);
-    let expect = read_inner(reader, expect, none, read_expectations);
+    let expect = read_table(reader, expect, no_overrides, read_expectations);
     let services = reader.tables("services");
     if services.is_empty() {
         reader.finding(0, "there is no service".to_owned(), "at least one [[services]] table");
     }
-    let services: Vec<_> =
-        services.iter().map(|table| read_inner(reader, table, none, read_services)).collect();
+    let services: Vec<_> = services
+        .iter()
+        .map(|table| read_table(reader, table, no_overrides, read_services))
+        .collect();
     let events = reader.tables("events");
     let events: Vec<_> =
-        events.iter().map(|table| read_inner(reader, table, none, read_event)).collect();
+        events.iter().map(|table| read_table(reader, table, no_overrides, read_event)).collect();
     Some(Scenario {
         name: name?,
         duration: duration?,
@@ -264,22 +263,22 @@
     })
 }
 
-fn read_inner<T>(
+fn read_table<T>(
     reader: &mut Reader<'_, '_>,
     table: &Table,
-    none: &Overrides,
+    no_overrides: &Overrides,
     read: fn(&mut Reader<'_, '_>) -> Option<T>,
 ) -> Option<T> {
-    let mut inner = reader.inner(table, none);
+    let mut inner = reader.inner(table, no_overrides);
     let value = read(&mut inner);
     inner.finish();
     value
 }
 
 fn read_network(reader: &mut Reader<'_, '_>) -> Option<NetworkSettings> {
-    let usual = NetworkSettings::default();
-    let delay = reader.seconds("delay_seconds", usual.delay.as_secs_f64());
-    let jitter = reader.seconds("jitter_seconds", usual.jitter.as_secs_f64());
+    let defaults = NetworkSettings::default();
+    let delay = reader.seconds("delay_seconds", defaults.delay.as_secs_f64());
+    let jitter = reader.seconds("jitter_seconds", defaults.jitter.as_secs_f64());
     let loss = reader.number("loss", 0.0, 1.0, 0.0);
     let duplicates = reader.number("duplicates", 0.0, 1.0, 0.0);
     Some(NetworkSettings { delay: delay?, jitter: jitter?, loss: loss?, duplicates: duplicates? })
@@ -323,14 +322,14 @@
     let initial_flows = reader.count("initial_flows", 0, 0);
     let initial_time = reader.seconds("initial_seconds", 1.0);
     let flows_per_second = reader.number("flows_per_second", 0.0, 1e6, 0.0);
-    let least = reader.count("least_requests", 1, 1);
-    let most = reader.count("most_requests", 1, 20);
+    let min_requests = reader.count("least_requests", 1, 1);
+    let max_requests = reader.count("most_requests", 1, 20);
     let pause = reader.seconds("pause_seconds", 0.5);
     let answer_bytes = reader.count("answer_bytes", 1, 2_000);
-    let work = reader.seconds("work_seconds", 0.005);
+    let processing_time = reader.seconds("work_seconds", 0.005);
     let timestamps = reader.number("timestamps", 0.0, 1.0, 1.0);
-    let (least, most) = (least? as u32, most? as u32);
-    if least > most {
+    let (min_requests, max_requests) = (min_requests? as u32, max_requests? as u32);
+    if min_requests > max_requests {
         let offset = reader.offset();
         reader.finding(offset, "least_requests is above most_requests".to_owned(), "at most it");
     }
@@ -343,10 +342,10 @@
         initial_flows: initial_flows? as u32,
         initial_time: initial_time?,
         flows_per_second: flows_per_second?,
-        requests: (least, most),
+        requests: (min_requests, max_requests),
         pause: pause?,
         answer_bytes: answer_bytes? as usize,
-        work: work?,
+        processing_time: processing_time?,
         timestamps: timestamps?,
     })
 }
--- a/crates/lab/src/trace.rs
+++ b/crates/lab/src/trace.rs
@@ -15,8 +15,8 @@
 use std::str::Lines;
 use thiserror::Error;
 
-const HEAD: &str = "loftdrift-trace 1";
-const CHECKSUM: &str = "checksum ";
+const HEADER: &str = "loftdrift-trace 1";
+const CHECKSUM_PREFIX: &str = "checksum ";
 
 /// A recorded run.
 #[derive(Clone, Debug, PartialEq)]
@@ -63,7 +63,7 @@
     /// The trace as text.
     pub fn write(&self) -> String {
         let scenario = self.plan.scenario.to_toml();
-        let mut text = format!("{HEAD}\nseed {}\n", self.plan.seed);
+        let mut text = format!("{HEADER}\nseed {}\n", self.plan.seed);
         // Writing to a string cannot fail, and plain data always serializes.
         let _ = writeln!(text, "scenario {}", scenario.lines().count());
         text.push_str(&scenario);
@@ -75,14 +75,14 @@
         let report = serde_json::to_string(&self.report).unwrap_or_default();
         let _ = writeln!(text, "report\n{report}");
         let checksum = checksum(text.as_bytes());
-        let _ = writeln!(text, "{CHECKSUM}{checksum:016x}");
+        let _ = writeln!(text, "{CHECKSUM_PREFIX}{checksum:016x}");
         text
     }
 
     /// Reads a trace and checks every line of it.
     pub fn read(text: &str) -> Result<Trace, TraceError> {
         let mut reader = TraceReader { lines: text.lines(), line: 0 };
-        reader.expect(HEAD)?;
+        reader.expect(HEADER)?;
         let seed = reader.number("seed ", "seed N")?;
         let count = reader.number("scenario ", "scenario LINES")?;
         let mut scenario = String::new();
@@ -98,8 +98,8 @@
         let report = reader.json("the report in JSON")?;
         let stated = reader.next("checksum HEX")?;
         let line = reader.line;
-        let end = text.rfind(CHECKSUM).unwrap_or(text.len());
-        if stated != format!("{CHECKSUM}{:016x}", checksum(&text.as_bytes()[..end])) {
+        let end = text.rfind(CHECKSUM_PREFIX).unwrap_or(text.len());
+        if stated != format!("{CHECKSUM_PREFIX}{:016x}", checksum(&text.as_bytes()[..end])) {
             return Err(TraceError::Checksum { line });
         }
         let scenario = Scenario::parse("trace", &scenario)?;
--- a/crates/lab/src/world/agents.rs
+++ b/crates/lab/src/world/agents.rs
@@ -15,8 +15,8 @@
     }
 
     pub(super) fn handle_agent_timer(&mut self, address: SocketAddrV4) {
-        if let Some(thaw) = self.frozen_until(address) {
-            self.queue.push(thaw, Event::AgentTimer(address));
+        if let Some(resume_at) = self.frozen_until(address) {
+            self.queue.push(resume_at, Event::AgentTimer(address));
             return;
         }
         let Some(agent) = self.agents.get_mut(&address) else {
@@ -26,11 +26,11 @@
             agent.timer = None;
         }
         agent.core.handle_timeout(self.now);
-        self.settle_agent(address);
+        self.process_agent_outputs(address);
     }
 
     /// Carries out what an agent wants done and sets its timer.
-    pub(super) fn settle_agent(&mut self, address: SocketAddrV4) {
+    pub(super) fn process_agent_outputs(&mut self, address: SocketAddrV4) {
         while let Some(agent) = self.agents.get_mut(&address) {
             let Some(output) = agent.core.take_output() else {
                 break;
@@ -80,21 +80,26 @@
                 self.start_requests(address);
             }
             SocketCommand::ReadMore => {
-                agent.backend.give_credit(flow);
-                self.offer_chunk(address, flow);
+                agent.backend.grant_credit(flow);
+                self.deliver_chunk(address, flow);
             }
             SocketCommand::FinishWriting => {
-                agent.backend.finish(flow);
-                self.offer_chunk(address, flow);
+                agent.backend.note_peer_finished(flow);
+                self.deliver_chunk(address, flow);
             }
             SocketCommand::Abort => agent.backend.drop_connection(flow),
         }
     }
 
-    pub(super) fn answer(&mut self, address: SocketAddrV4, flow: FlowId, request: &RunningRequest) {
-        if let Some(thaw) = self.frozen_until(address) {
+    pub(super) fn finish_request(
+        &mut self,
+        address: SocketAddrV4,
+        flow: FlowId,
+        request: &RunningRequest,
+    ) {
+        if let Some(resume_at) = self.frozen_until(address) {
             let request = request.clone();
-            self.queue.push(thaw, Event::Answer { agent: address, flow, request });
+            self.queue.push(resume_at, Event::Answer { agent: address, flow, request });
             return;
         }
         let Some(agent) = self.agents.get_mut(&address) else {
@@ -102,8 +107,8 @@
         };
         agent.backend.answer(flow, request);
         self.start_requests(address);
-        self.offer_chunk(address, flow);
-        self.settle_agent(address);
+        self.deliver_chunk(address, flow);
+        self.process_agent_outputs(address);
     }
 
     /// Starts waiting requests for which the back end has slots.
@@ -111,22 +116,22 @@
         let Some(agent) = self.agents.get_mut(&address) else {
             return;
         };
-        let work = agent.backend.work();
+        let processing_time = agent.backend.processing_time();
         while let Some((flow, request)) = agent.backend.start_next() {
-            *self.outcome.runs.entry(request.id).or_default() += 1;
-            self.outcome.misdelivered += u64::from(request.foreign);
+            *self.outcome.executions.entry(request.id).or_default() += 1;
+            self.outcome.misdelivered += u64::from(request.wrong_service);
             let event = Event::Answer { agent: address, flow, request };
-            self.queue.push(self.now + work, event);
+            self.queue.push(self.now + processing_time, event);
         }
     }
 
-    pub(super) fn offer_chunk(&mut self, address: SocketAddrV4, flow: FlowId) {
+    pub(super) fn deliver_chunk(&mut self, address: SocketAddrV4, flow: FlowId) {
         let Some(agent) = self.agents.get_mut(&address) else {
             return;
         };
-        if let Some(chunk) = agent.backend.take_chunk(flow) {
+        if let Some(chunk) = agent.backend.next_chunk(flow) {
             agent.core.handle_socket(self.now, flow, SocketEvent::Received(chunk));
-        } else if agent.backend.is_over(flow) {
+        } else if agent.backend.is_finished(flow) {
             agent.backend.drop_connection(flow);
             agent.core.handle_socket(self.now, flow, SocketEvent::Finished);
         }
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -20,7 +20,7 @@
         if let Some(open) = self.callers.get_mut(flow) {
             open.body.splice.on_packet(self.now, packet.inner);
         }
-        self.settle_caller(flow);
+        self.process_caller_commands(flow);
     }
 
     pub(super) fn handle_caller_timer(&mut self) {
@@ -31,7 +31,7 @@
             if let Some(open) = self.callers.get_mut(flow) {
                 open.body.splice.pump(self.now);
             }
-            self.settle_caller(flow);
+            self.process_caller_commands(flow);
         }
         self.schedule_callers();
     }
@@ -40,15 +40,15 @@
         let Some(open) = self.callers.get_mut(flow) else {
             return;
         };
-        let id = self.next_request;
-        self.next_request += 1;
+        let id = self.next_request_id;
+        self.next_request_id += 1;
         let request = open.body.caller.next_request(id, &mut self.outcome);
         open.body.splice.on_socket(self.now, SocketEvent::Received(request));
-        self.settle_caller(flow);
+        self.process_caller_commands(flow);
     }
 
     /// Carries out what a caller's flow wants done and sets its timer.
-    pub(super) fn settle_caller(&mut self, flow: FlowId) {
+    pub(super) fn process_caller_commands(&mut self, flow: FlowId) {
         while let Some(open) = self.callers.get_mut(flow) {
             let Some(command) = open.body.splice.take_command() else {
                 break;
@@ -66,7 +66,7 @@
         let finished = open.body.caller.finished;
         let deadline = open.body.splice.next_timeout(self.now);
         for packet in packets {
-            self.spray(&packet);
+            self.send_through_fabric(&packet);
         }
         if gone && !finished {
             self.outcome.flows_broken += 1;
@@ -122,7 +122,7 @@
         }
     }
 
-    pub(super) fn spray(&mut self, packet: &[u8]) {
+    pub(super) fn send_through_fabric(&mut self, packet: &[u8]) {
         let Some(balancer) = self.in_use.choose(&mut self.random).copied() else {
             return;
         };
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -29,10 +29,10 @@
 pub const FABRIC: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 6081);
 
 const GENEVE_PORT: u16 = 6081;
-const FIRST_BALANCER: u32 = 0x0A01_0000;
-const FIRST_AGENT: u32 = 0x0A02_0000;
-const BALANCER_TICK: Duration = Duration::from_millis(100);
-const PROBING: ProbeSettings = ProbeSettings {
+const BALANCER_ADDRESS_BASE: u32 = 0x0A01_0000;
+const AGENT_ADDRESS_BASE: u32 = 0x0A02_0000;
+const BALANCER_TICK_INTERVAL: Duration = Duration::from_millis(100);
+const PROBE_SETTINGS: ProbeSettings = ProbeSettings {
     interval: Duration::from_secs(1),
     timeout: Duration::from_millis(400),
     misses: 3,
@@ -105,8 +105,8 @@
     agents: BTreeMap<SocketAddrV4, SimulatedAgent>,
     callers: FlowTable<OpenFlow>,
     caller_timer: Option<Duration>,
-    next_request: u64,
-    next_caller: u32,
+    next_request_id: u64,
+    next_caller_number: u32,
     buffer: Vec<u8>,
     outcome: Outcome,
     packets: u64,
@@ -128,8 +128,8 @@
             agents: BTreeMap::new(),
             callers: FlowTable::default(),
             caller_timer: None,
-            next_request: 0,
-            next_caller: 0,
+            next_request_id: 0,
+            next_caller_number: 0,
             buffer: vec![0; HEADROOM_BYTES + usize::from(u16::MAX)],
             outcome: Outcome::default(),
             packets: 0,
@@ -141,12 +141,12 @@
 
     /// The address of the balancer with that number.
     pub fn balancer_address(number: u32) -> SocketAddrV4 {
-        SocketAddrV4::new(Ipv4Addr::from(FIRST_BALANCER + number), GENEVE_PORT)
+        SocketAddrV4::new(Ipv4Addr::from(BALANCER_ADDRESS_BASE + number), GENEVE_PORT)
     }
 
     /// The address of the agent with that number.
     pub fn agent_address(number: u32) -> SocketAddrV4 {
-        SocketAddrV4::new(Ipv4Addr::from(FIRST_AGENT + number), GENEVE_PORT)
+        SocketAddrV4::new(Ipv4Addr::from(AGENT_ADDRESS_BASE + number), GENEVE_PORT)
     }
 
     /// The virtual time.
@@ -167,7 +167,7 @@
     /// Adds a balancer, to which the fabric sprays from now on.
     pub fn add_balancer(&mut self, number: u32) {
         let address = Self::balancer_address(number);
-        self.balancers.insert(address, Balancer::new(PROBING));
+        self.balancers.insert(address, Balancer::new(PROBE_SETTINGS));
         self.in_use.push(address);
         self.queue.push(self.now, Event::BalancerTick(address));
     }
@@ -222,7 +222,7 @@
 
     /// Numbers of the balancers to which the fabric sprays.
     pub fn balancers_in_use(&self) -> Vec<u32> {
-        self.in_use.iter().map(|address| address.ip().to_bits() - FIRST_BALANCER).collect()
+        self.in_use.iter().map(|address| address.ip().to_bits() - BALANCER_ADDRESS_BASE).collect()
     }
 
     /// A back end dies with all of its connections; its agent lives on.
@@ -236,7 +236,7 @@
         for flow in agent.backend.kill() {
             agent.core.handle_socket(self.now, flow, SocketEvent::Failed);
         }
-        self.settle_agent(address);
+        self.process_agent_outputs(address);
     }
 
     /// The core of an agent.
@@ -246,7 +246,7 @@
 
     /// Requests that a back end works on now.
     pub fn busy_slots(&self, number: u32) -> usize {
-        self.agents.get(&Self::agent_address(number)).map_or(0, |agent| agent.backend.busy())
+        self.agents.get(&Self::agent_address(number)).map_or(0, |agent| agent.backend.busy_slots())
     }
 
     /// The core of a balancer.
@@ -266,7 +266,7 @@
         if let Some(agent) = self.agents.get_mut(&Self::agent_address(number)) {
             agent.core.adopt(self.now, configuration);
         }
-        self.settle_agent(Self::agent_address(number));
+        self.process_agent_outputs(Self::agent_address(number));
     }
 
     /// Every node learns a configuration.
@@ -279,12 +279,12 @@
             if let Some(agent) = self.agents.get_mut(&address) {
                 agent.core.adopt(self.now, configuration);
             }
-            self.settle_agent(address);
+            self.process_agent_outputs(address);
         }
     }
 
     /// Runs a script at a virtual time.
-    pub fn at(&mut self, time: Duration, script: impl FnOnce(&mut World) + 'static) {
+    pub fn schedule(&mut self, time: Duration, script: impl FnOnce(&mut World) + 'static) {
         self.queue.push(time, Event::Script(Box::new(script)));
     }
 
@@ -306,7 +306,7 @@
         if let Some(open) = self.callers.get_mut(flow) {
             open.body.splice.pump(self.now);
         }
-        self.settle_caller(flow);
+        self.process_caller_commands(flow);
         flow
     }
 
@@ -326,12 +326,12 @@
     }
 
     fn next_caller_address(&mut self) -> SocketAddrV4 {
-        const FIRST_CALLER: u32 = 0x0A09_0001;
+        const CALLER_ADDRESS_BASE: u32 = 0x0A09_0001;
         const CALLERS_PER_HOST: u32 = 20_000;
         const FIRST_PORT: u32 = 40_000;
-        let number = self.next_caller;
-        self.next_caller += 1;
-        let host = Ipv4Addr::from(FIRST_CALLER + number / CALLERS_PER_HOST);
+        let number = self.next_caller_number;
+        self.next_caller_number += 1;
+        let host = Ipv4Addr::from(CALLER_ADDRESS_BASE + number / CALLERS_PER_HOST);
         SocketAddrV4::new(host, (FIRST_PORT + number % CALLERS_PER_HOST) as u16)
     }
 
@@ -351,7 +351,7 @@
             Event::BalancerTick(address) => self.handle_balancer_tick(address),
             Event::CallerTimer => self.handle_caller_timer(),
             Event::NextRequest(flow) => self.send_request(flow),
-            Event::Answer { agent, flow, request } => self.answer(agent, flow, &request),
+            Event::Answer { agent, flow, request } => self.finish_request(agent, flow, &request),
             Event::Script(script) => script(self),
         }
     }
@@ -368,9 +368,9 @@
     }
 
     fn handle_datagram(&mut self, to: SocketAddrV4, from: SocketAddrV4, datagram: &[u8]) {
-        if let Some(thaw) = self.frozen_until(to) {
+        if let Some(resume_at) = self.frozen_until(to) {
             let datagram = datagram.to_vec();
-            self.queue.push(thaw, Event::Datagram { to, from, datagram });
+            self.queue.push(resume_at, Event::Datagram { to, from, datagram });
             return;
         }
         self.packets += 1;
@@ -378,7 +378,7 @@
             self.deliver_to_caller(datagram);
         } else if let Some(agent) = self.agents.get_mut(&to) {
             agent.core.handle_datagram(self.now, from, datagram);
-            self.settle_agent(to);
+            self.process_agent_outputs(to);
         } else if self.balancers.contains_key(&to) {
             self.forward(to, from, datagram);
         }
@@ -408,6 +408,6 @@
         for probe in core.tick(self.now, self.now) {
             self.transmit(address, probe.to, probe.echo.encode());
         }
-        self.queue.push(self.now + BALANCER_TICK, Event::BalancerTick(address));
+        self.queue.push(self.now + BALANCER_TICK_INTERVAL, Event::BalancerTick(address));
     }
 }
--- a/crates/lab/tests/disagreement.rs
+++ b/crates/lab/tests/disagreement.rs
@@ -28,7 +28,7 @@
         world.configure_agent(number, known);
     }
     open_flows(&mut world, 30, seconds(0.0), seconds(3.0), &callers(12, seconds(0.5), timestamps));
-    world.at(seconds(12.0), move |world| world.configure_all(&newest));
+    world.schedule(seconds(12.0), move |world| world.configure_all(&newest));
     world.run_until(seconds(120.0));
     world.outcome().clone()
 }
@@ -94,7 +94,11 @@
             let requests = outcome.flows_finished * u64::from(REQUESTS);
             assert_eq!(outcome.requests_sent, requests, "{held:?}: {outcome:?}");
             assert_eq!(outcome.answered_whole, requests, "{held:?}: {outcome:?}");
-            assert_eq!(outcome.doubled() + outcome.wrong_answers, 0, "{held:?}: {outcome:?}");
+            assert_eq!(
+                outcome.duplicate_executions() + outcome.wrong_answers,
+                0,
+                "{held:?}: {outcome:?}"
+            );
         }
     }
 }
@@ -116,7 +120,7 @@
     let newest = list.last().expect("a configuration").clone();
     let behaviour = callers(REQUESTS, seconds(0.5), timestamps);
     open_flows(&mut world, 4, seconds(0.0), seconds(0.5), &behaviour);
-    world.at(seconds(4.0), move |world| world.configure_all(&newest));
+    world.schedule(seconds(4.0), move |world| world.configure_all(&newest));
     world.run_until(seconds(60.0));
     world.outcome().clone()
 }
--- a/crates/lab/tests/day_profile.rs
+++ b/crates/lab/tests/event_profile.rs
@@ -1,6 +1,6 @@
 //! Counting a day's events from logs.
 
-use loftdrift_lab::DayProfile;
+use loftdrift_lab::EventProfile;
 
 fn line(at: &str, event: &str, rest: &str) -> String {
     format!("steady_ms=1 time=2026-03-12T18:29:{at}Z level=info node=n role=r event={event}{rest}")
@@ -23,7 +23,7 @@
 
 #[test]
 fn events_are_counted_by_step_and_reason_over_all_logs() {
-    let profile = DayProfile::of_logs(&logs(), 100);
+    let profile = EventProfile::from_logs(&logs(), 100);
     assert_eq!(
         profile.table(3, 0.0, 10.0),
         "seconds,opening_placed,opening_refused:busy,opening_refused:no_route\n\
@@ -34,13 +34,13 @@
 
 #[test]
 fn kinds_come_by_frequency_and_a_table_is_cut_at_its_ends() {
-    let profile = DayProfile::of_logs(&logs(), 100);
+    let profile = EventProfile::from_logs(&logs(), 100);
     assert_eq!(profile.kinds(2), [("opening_placed", 3), ("opening_refused:busy", 2)]);
     assert_eq!(profile.table(1, 0.1, 0.2), "seconds,opening_placed\n0.10,0\n");
 }
 
 #[test]
 fn logs_without_lines_give_an_empty_profile() {
-    let profile = DayProfile::of_logs(&["nothing".to_owned()], 0);
+    let profile = EventProfile::from_logs(&["nothing".to_owned()], 0);
     assert_eq!(profile.table(5, 0.0, 10.0), "seconds,\n");
 }
--- a/crates/lab/tests/planned_changes.rs
+++ b/crates/lab/tests/planned_changes.rs
@@ -21,12 +21,12 @@
         for number in 1..=3_u32 {
             let at = seconds(1.0 + f64::from(number) * 2.0);
             let newest = list[0].clone();
-            world.at(at, move |world| {
+            world.schedule(at, move |world| {
                 world.add_balancer(number + 3);
                 world.configure_balancer(number + 3, &newest);
                 world.withdraw_balancer(number);
             });
-            world.at(at + seconds(1.0), move |world| world.kill_balancer(number));
+            world.schedule(at + seconds(1.0), move |world| world.kill_balancer(number));
         }
         world.run_until(seconds(60.0));
         assert_clean(world.outcome(), seed);
@@ -39,8 +39,8 @@
         let mut world = world(WorldSettings { seed, ..WorldSettings::default() }, 3, 4);
         world.configure_all(&configurations(&[create(4)])[0]);
         open_flows(&mut world, 40, seconds(0.0), seconds(4.0), &callers(20, seconds(0.5), true));
-        world.at(seconds(3.0), |world| world.kill_balancer(2));
-        world.at(seconds(3.5), |world| world.withdraw_balancer(2));
+        world.schedule(seconds(3.0), |world| world.kill_balancer(2));
+        world.schedule(seconds(3.5), |world| world.withdraw_balancer(2));
         world.run_until(seconds(90.0));
         assert_clean(world.outcome(), seed);
     }
@@ -60,7 +60,7 @@
             open_flows(&mut world, 60, seconds(0.0), seconds(12.0), &long);
             for (index, configuration) in list.into_iter().enumerate().skip(1) {
                 let at = seconds(index as f64 * 2.5);
-                world.at(at, move |world| world.configure_all(&configuration));
+                world.schedule(at, move |world| world.configure_all(&configuration));
             }
             world.run_until(seconds(90.0));
             assert_clean(world.outcome(), seed);
@@ -76,7 +76,7 @@
     open_flows(&mut world, 200, seconds(0.0), seconds(20.0), &callers(3, seconds(0.2), true));
     let drained = list[1].clone();
     // The agent learns of the drain; the balancers never do.
-    world.at(seconds(8.0), move |world| world.configure_agent(1, &drained));
+    world.schedule(seconds(8.0), move |world| world.configure_agent(1, &drained));
     world.run_until(seconds(8.1));
     let opened = |world: &loftdrift_lab::World| {
         world.agent(1).map_or(0, |agent| agent.counters.flows_opened)
@@ -122,7 +122,10 @@
         let outcome = world.outcome();
         assert_eq!(outcome.flows_broken, own, "seed {seed}: {outcome:?}");
         assert_eq!(outcome.flows_finished, 80 - own, "seed {seed}: {outcome:?}");
-        assert_eq!(outcome.wrong_answers + outcome.misdelivered + outcome.doubled(), 0);
+        assert_eq!(
+            outcome.wrong_answers + outcome.misdelivered + outcome.duplicate_executions(),
+            0
+        );
     }
 }
 
@@ -158,7 +161,7 @@
     open_flows(&mut world, 100, seconds(0.0), seconds(2.0), &callers(30, seconds(0.5), false));
     for (index, configuration) in list.into_iter().enumerate().skip(1) {
         let at = seconds(2.0 + index as f64 * 1.5);
-        world.at(at, move |world| world.configure_all(&configuration));
+        world.schedule(at, move |world| world.configure_all(&configuration));
     }
     world.run_until(seconds(120.0));
     assert_clean(world.outcome(), 5);
@@ -176,7 +179,7 @@
     open_flows(&mut world, 40, seconds(0.0), seconds(1.0), &callers(40, seconds(0.5), false));
     for (index, configuration) in list.into_iter().enumerate().skip(1) {
         let at = seconds(1.0 + index as f64);
-        world.at(at, move |world| world.configure_all(&configuration));
+        world.schedule(at, move |world| world.configure_all(&configuration));
     }
     world.run_until(seconds(120.0));
     assert_clean(world.outcome(), 6);
@@ -201,7 +204,7 @@
         open_flows(&mut world, 100, seconds(0.0), seconds(1.0), &callers(40, seconds(0.5), false));
         for (index, configuration) in list.into_iter().enumerate().skip(1) {
             let at = seconds(1.0 + index as f64);
-            world.at(at, move |world| world.configure_all(&configuration));
+            world.schedule(at, move |world| world.configure_all(&configuration));
         }
         world.run_until(seconds(120.0));
         assert_clean(world.outcome(), seed);
@@ -218,7 +221,7 @@
         open_flows(&mut world, 30, seconds(0.0), seconds(2.0), &long);
         for (index, configuration) in list.into_iter().enumerate().skip(1) {
             let at = seconds(2.0 + index as f64);
-            world.at(at, move |world| world.configure_all(&configuration));
+            world.schedule(at, move |world| world.configure_all(&configuration));
         }
         world.run_until(seconds(90.0));
         assert_clean(world.outcome(), 1);
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -33,7 +33,7 @@
         }
         let scenario = read(&name);
         let report = run(&Plan::new(&scenario, 1)).expect("a run").report;
-        assert_eq!(report.missed(&scenario.expect), Vec::<String>::new(), "{name}");
+        assert_eq!(report.missed_expectations(&scenario.expect), Vec::<String>::new(), "{name}");
         assert!(report.flows_opened > 0 && report.answered_whole > 0, "{name}: {report:?}");
     }
 }
@@ -53,7 +53,7 @@
     scenario.expect.imbalance = Some(1.0);
     scenario.expect.extra_hops = Some(0.0);
     let report = run(&Plan::new(&scenario, 1)).expect("a run").report;
-    let missed = report.missed(&scenario.expect);
+    let missed = report.missed_expectations(&scenario.expect);
     assert_eq!(missed.len(), 3, "{missed:?}");
     assert!(missed[0].contains("imbalance of manifests"), "{missed:?}");
     assert!(missed[2].contains("extra hops"), "{missed:?}");
@@ -71,7 +71,7 @@
 /// With cookies and silence off, exploration must find what they are for.
 #[test]
 fn exploration_finds_a_missing_mechanism_and_shrinks_it() {
-    const MOST_SEEDS: u64 = 150;
+    const MAX_SEEDS: u64 = 150;
     let mut base = read("explore.toml");
     base.cookies = false;
     base.unknown_grace = std::time::Duration::ZERO;
@@ -80,12 +80,12 @@
         service.flows_per_second = 6.0;
     }
     let find = |seed| explore(&base, seed).expect("a timeline that makes sense");
-    let failure = (1..=MOST_SEEDS).find_map(find).expect("a broken promise");
+    let failure = (1..=MAX_SEEDS).find_map(find).expect("a broken promise");
     let before = failure.scenario.events.len();
     let smallest = loftdrift_lab::shrink(failure);
     assert!(smallest.scenario.events.len() <= before);
     let again = run(&Plan::new(&smallest.scenario, smallest.seed)).expect("a run").report;
-    assert!(!again.broken_promises().is_empty());
+    assert!(!again.violated_invariants().is_empty());
 }
 
 #[test]
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -64,7 +64,7 @@
     for number in 1..=agents {
         let behaviour = BackendBehaviour {
             service: "tiles".to_owned(),
-            work: Duration::from_millis(5),
+            processing_time: Duration::from_millis(5),
             slots: 7,
         };
         world.add_agent(number, &format!("tiles-{number}"), behaviour).expect("a chart");
@@ -94,7 +94,7 @@
     for number in 0..count {
         let behaviour = behaviour.clone();
         let at = from + (to - from) * number / count;
-        world.at(at, move |world| {
+        world.schedule(at, move |world| {
             world.open_flow(tiles(), &behaviour);
         });
     }
