--- a/crates/lab/src/assigner.rs
+++ b/crates/lab/src/assigner.rs
@@ -1,4 +1,5 @@
-//! Replays a log of flows under an assignment and samples its imbalance.
+//! Replays a log of flows, lets a function assign each one to a back end, and samples the
+//! imbalance that results.
 
 use crate::flow_log::FlowLog;
 use crate::run::{SAMPLE_INTERVAL, max_to_mean_ratio};
@@ -7,11 +8,13 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-/// Loads of the back ends of each service while a log is replayed.
+/// Open flows per service index and agent number at one moment of a replay.
 pub(crate) type Loads = BTreeMap<(usize, u32), usize>;
 
-/// Mean imbalance of each service, sampled as in a run, when `assign` chooses each flow's back end
-/// from the loads at its opening.
+/// Samples of each service's imbalance when `assign` chooses the back end of every flow.
+///
+/// `assign` gets the flow's index in the log, the agents that accept new flows, and the loads at
+/// the time when the flow opens. Sample times are those of a simulated run.
 pub(crate) fn replay(
     log: &FlowLog,
     scenario: &Scenario,
@@ -64,7 +67,7 @@
     }
 }
 
-/// The mean of samples; 1 when there are none.
+/// The mean of the sampled ratios; 1 (perfect balance) when there are no samples.
 pub(crate) fn mean(samples: &[(Duration, f64)]) -> f64 {
     if samples.is_empty() {
         return 1.0;
@@ -72,13 +75,14 @@
     samples.iter().map(|(_, ratio)| ratio).sum::<f64>() / samples.len() as f64
 }
 
-/// The least loaded member, the first of several.
+/// The least loaded member; the first one on a tie.
 pub(crate) fn least_loaded(service: usize, members: &[u32], loads: &Loads) -> Option<u32> {
     let load = |agent: &&u32| loads.get(&(service, **agent)).copied().unwrap_or(0);
     members.iter().min_by_key(load).copied()
 }
 
-/// Mean imbalance of each service under an assigner that knows every load at every moment.
+/// Mean imbalance of each service under an assigner that always knows the current loads: the
+/// reference that a run is compared with.
 pub(crate) fn all_knowing_imbalance(log: &FlowLog, scenario: &Scenario) -> Vec<f64> {
     let services: Vec<usize> = log.flows.iter().map(|flow| flow.service).collect();
     let samples = replay(log, scenario, |index, members, loads| {
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -1,7 +1,7 @@
-//! A simulated back end: reads request lines, works, answers.
+//! A simulated back end: reads request lines, processes them for a fixed time, and answers.
 //!
-//! A request is the line `ID SIZE SERVICE`; its answer the line `ID SIZE SERVICE` of the back
-//! end's own service, followed by `SIZE` bytes that the identity determines.
+//! A request is the line `ID SIZE SERVICE`. The answer is the line `ID SIZE SERVICE`, with the back
+//! end's own service, followed by `SIZE` bytes that [`body_byte`] derives from the request's ID.
 
 use bytes::{Bytes, BytesMut};
 use loftdrift_flow::FlowId;
@@ -10,14 +10,14 @@
 
 const CHUNK_BYTES: usize = 4 * 1024;
 
-/// How a back end behaves.
+/// Service, processing time and capacity of a back end.
 #[derive(Clone, Debug)]
 pub struct BackendBehaviour {
-    /// The service that it belongs to.
+    /// Name of the service that the back end belongs to.
     pub service: String,
-    /// Time that a request takes.
+    /// Time to process one request.
     pub processing_time: Duration,
-    /// Requests that it works on at a time.
+    /// Requests that it processes at the same time; further requests wait.
     pub slots: usize,
 }
 
@@ -25,27 +25,29 @@
 struct Connection {
     received: BytesMut,
     to_send: VecDeque<Bytes>,
-    /// The flow takes one more chunk.
+    /// Whether the agent has asked for another chunk (flow control).
     has_credit: bool,
+    /// The caller has finished sending.
     peer_finished: bool,
 }
 
-/// A back end with its connections.
+/// The state of a back end: its connections and its requests.
 #[derive(Debug)]
 pub(crate) struct SimulatedBackend {
     behaviour: BackendBehaviour,
     connections: BTreeMap<FlowId, Connection>,
     dead: bool,
-    waiting: VecDeque<(FlowId, RunningRequest)>,
+    /// Requests without a slot, in the order of arrival.
+    waiting: VecDeque<(FlowId, BackendRequest)>,
     busy_slots: usize,
 }
 
-/// A request that a back end has begun to run.
+/// A request that waits at a back end or is being processed.
 #[derive(Clone, Debug)]
-pub(crate) struct RunningRequest {
+pub(crate) struct BackendRequest {
     pub(crate) id: u64,
     pub(crate) size: usize,
-    /// The request was meant for another service.
+    /// The request names another service than the back end's.
     pub(crate) wrong_service: bool,
 }
 
@@ -64,18 +66,18 @@
         self.behaviour.processing_time
     }
 
-    /// Whether it accepts connections.
+    /// Whether the back end is alive and accepts connections.
     pub(crate) fn accepts(&self) -> bool {
         !self.dead
     }
 
-    /// Dies; returns the connections that it had.
+    /// Kills the back end; returns the flows whose connections it had.
     pub(crate) fn kill(&mut self) -> Vec<FlowId> {
         self.dead = true;
         std::mem::take(&mut self.connections).into_keys().collect()
     }
 
-    /// Accepts a connection unless it is dead.
+    /// Accepts a connection; returns `false` when the back end is dead.
     pub(crate) fn connect(&mut self, flow: FlowId) -> bool {
         if !self.dead {
             let connection = Connection { has_credit: true, ..Connection::default() };
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Whether the flow has no more to say and its peer has finished.
+    /// Whether both directions are finished: the caller has finished sending, and all answers are
+    /// sent.
     pub(crate) fn is_finished(&self, flow: FlowId) -> bool {
         let connection = self.connections.get(&flow);
         connection
@@ -107,7 +110,7 @@
         }
     }
 
-    /// Takes bytes of a flow; whole requests wait for a slot.
+    /// Receives bytes of a flow and queues each complete request until a slot is free.
     pub(crate) fn receive(&mut self, flow: FlowId, bytes: &[u8]) {
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
@@ -121,13 +124,13 @@
             let size = words.next().and_then(|word| word.parse().ok());
             if let (Some(id), Some(size)) = (id, size) {
                 let wrong_service = words.next() != Some(self.behaviour.service.as_str());
-                self.waiting.push_back((flow, RunningRequest { id, size, wrong_service }));
+                self.waiting.push_back((flow, BackendRequest { id, size, wrong_service }));
             }
         }
     }
 
-    /// Starts the request that waits longest when a slot is free.
-    pub(crate) fn start_next(&mut self) -> Option<(FlowId, RunningRequest)> {
+    /// Starts the oldest waiting request if a slot is free.
+    pub(crate) fn start_next(&mut self) -> Option<(FlowId, BackendRequest)> {
         if self.busy_slots == self.behaviour.slots {
             return None;
         }
@@ -136,13 +139,13 @@
         Some(next)
     }
 
-    /// Requests that it works on now.
+    /// Requests that are being processed.
     pub(crate) fn busy_slots(&self) -> usize {
         self.busy_slots
     }
 
-    /// The work on a request is done: frees its slot and queues its answer.
-    pub(crate) fn answer(&mut self, flow: FlowId, request: &RunningRequest) {
+    /// Frees the slot of a processed request and queues its answer in chunks.
+    pub(crate) fn answer(&mut self, flow: FlowId, request: &BackendRequest) {
         self.busy_slots = self.busy_slots.saturating_sub(1);
         let Some(connection) = self.connections.get_mut(&flow) else {
             return;
@@ -156,7 +159,7 @@
         }
     }
 
-    /// The next chunk for a flow that takes one.
+    /// The next chunk of a flow whose agent has asked for one.
     pub(crate) fn next_chunk(&mut self, flow: FlowId) -> Option<Bytes> {
         let connection = self.connections.get_mut(&flow)?;
         if !connection.has_credit {
@@ -168,7 +171,7 @@
     }
 }
 
-/// The byte that fills a request's answer.
+/// The byte that the whole body of the answer to request `id` consists of.
 pub(crate) fn body_byte(id: u64) -> u8 {
     (id % 251) as u8
 }
--- a/crates/lab/src/bin/loftdrift-lab.rs
+++ b/crates/lab/src/bin/loftdrift-lab.rs
@@ -1,4 +1,5 @@
-//! The program `loftdrift-lab`: scenarios, comparisons, traces and exploration on a virtual clock.
+//! The program `loftdrift-lab`: runs scenarios, policy comparisons, traces and random timelines on
+//! a virtual clock, and counts events in the logs of nodes.
 
 use anyhow::{Context, Result, bail};
 use indicatif::{ProgressBar, ProgressDrawTarget, ProgressStyle};
@@ -15,37 +16,37 @@
 use std::time::{Duration, Instant};
 
 const HELP: &str = "\
-loftdrift-lab: loftdrift's cores on a virtual clock
+loftdrift-lab: simulates loftdrift deployments on a virtual clock
 
 usage: loftdrift-lab COMMAND ...
 
 commands:
   run SCENARIO.toml [--seed N | --seeds A..B] [--jobs J] [--format json]
-      runs a scenario and checks its stated outcomes and the promises that always hold
+      runs a scenario and checks its expected results and the invariants of every run
   compare SCENARIO.toml [--policies a,b,c] [--seed N | --seeds A..B] [--format json] [--plots DIR]
-      the same flows under other policies: loftdrift, hash-modulo, rendezvous, maglev, flow-table,
-      stale-choices, all-knowing
-  record SCENARIO.toml --out FILE [--seed N]        writes a trace with the run's outcomes
-  replay FILE                                       runs a trace against its outcomes
+      compares assignment policies on the same flows: loftdrift, hash-modulo, rendezvous, maglev,
+      flow-table, stale-choices, all-knowing
+  record SCENARIO.toml --out FILE [--seed N]        runs a scenario and writes a trace of it
+  replay FILE                                       runs a trace and compares the results
   explore SCENARIO.toml [--count N] [--seconds S] [--first-seed N] [--jobs J] [--out FILE]
-      random timelines of changes and faults on top of the scenario; the first failing one is shrunk
-      and written as a scenario that `run` takes
+      runs the scenario with random timelines of changes and faults; the first failing one is shrunk
+      and written as a scenario that `run` accepts
   carried [--seed N | --seeds A..B] [--balancers N] [--weak N]
-      random days of carried flows: faults of every kind, the users' rules as outcomes; --weak: so many
-      balancers have little processor
+      runs carried flows under random faults and checks the users' rules; --weak: how many balancers
+      are short of processor time
   profile LOG... [--step-ms N] [--from S] [--to S] [--plot FILE.svg]
-      what nodes' logs tell of a day, counted in steps of N milliseconds (100), as a table; --plot: flows
-      placed, declined and refused as a picture
+      counts the events in the logs of nodes in steps of N milliseconds (default 100), as a CSV
+      table; --plot: also draws the flows placed, declined and refused
 
   --help, --version
-exit codes: 0 as stated, 1 an outcome was missed, 2 usage or a file that does not read
+exit codes: 0 success, 1 a check failed, 2 invalid usage or unreadable file
 ";
 
 const EXIT_MISSED: u8 = 1;
 const EXIT_USAGE: u8 = 2;
 const DEFAULT_TIMELINES: u64 = 1_000;
 const DEFAULT_STEP_MS: i64 = 100;
-/// Columns of a day's table.
+/// Kinds of events in the table of `profile`.
 const MAX_TABLE_COLUMNS: usize = 12;
 const PLOTTED_KINDS: [&str; 4] =
     ["opening_placed", "request_arrived", "offer_declined:busy", "opening_refused:busy"];
@@ -84,7 +85,8 @@
     }
 }
 
-/// Plays random days of carried flows; the first that breaks a rule ends the command.
+/// Runs carried flows under random faults, once per seed; stops at the first run that violates a
+/// rule.
 fn carried_command(mut arguments: Arguments) -> Result<ExitCode> {
     let seeds = seeds(&mut arguments)?;
     let defaults = CarriedWorldSettings::default();
@@ -94,10 +96,10 @@
         ..defaults
     };
     if let Some(word) = arguments.finish().first() {
-        bail!("`{}` is not understood; see --help", word.to_string_lossy());
+        bail!("`{}` is an unexpected argument; see --help", word.to_string_lossy());
     }
     if settings.balancers == 0 {
-        bail!("--balancers 0: nobody would carry a packet");
+        bail!("--balancers 0: at least one balancer is needed");
     }
     let bar = progress(seeds.end.saturating_sub(seeds.start));
     let (mut days, mut asked, mut served) = (0_u64, 0, 0);
@@ -105,17 +107,17 @@
         let faults = random_day_with_evacuations(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(CarriedWorldSettings { seed, ..settings }, &faults).run();
         if !outcome.keeps_the_rules() {
-            println!("seed {seed} breaks a rule: {outcome:?}\n{faults:#?}");
+            println!("seed {seed} violates a rule: {outcome:?}\n{faults:#?}");
             return Ok(ExitCode::from(EXIT_MISSED));
         }
         (days, asked, served) = (days + 1, asked + outcome.asked, served + outcome.served);
         bar.inc(1);
     }
-    println!("{days} days, none with a rule broken; {served} of {asked} requests served");
+    println!("{days} runs, none violated a rule; {served} of {asked} requests served");
     Ok(ExitCode::SUCCESS)
 }
 
-/// Counts the events of a day.
+/// Counts the events in log files.
 fn profile_command(mut arguments: Arguments) -> Result<ExitCode> {
     let step_ms = arguments.opt_value_from_str("--step-ms")?.unwrap_or(DEFAULT_STEP_MS);
     let from: f64 = arguments.opt_value_from_str("--from")?.unwrap_or(0.0);
@@ -128,7 +130,7 @@
         logs.push(String::from_utf8_lossy(&bytes).into_owned());
     }
     if logs.is_empty() {
-        bail!("no log named; see --help");
+        bail!("no log file given; see --help");
     }
     let profile = EventProfile::from_logs(&logs, step_ms);
     print!("{}", profile.table(MAX_TABLE_COLUMNS, from, to));
@@ -143,7 +145,7 @@
     Ok(Scenario::parse(file, &text)?)
 }
 
-/// `--seed N`, `--seeds A..B` or seed 1.
+/// The seeds of `--seed N` or `--seeds A..B`; seed 1 without either.
 fn seeds(arguments: &mut Arguments) -> Result<std::ops::Range<u64>> {
     let one: Option<u64> = arguments.opt_value_from_str("--seed")?;
     let range: Option<String> = arguments.opt_value_from_str("--seeds")?;
@@ -154,7 +156,7 @@
             let (first, end) = range.split_once("..").context("--seeds: expected A..B")?;
             Ok(first.parse().context("--seeds")?..end.parse().context("--seeds")?)
         }
-        (Some(_), Some(_)) => bail!("give either --seed or --seeds"),
+        (Some(_), Some(_)) => bail!("--seed and --seeds cannot be combined"),
     }
 }
 
@@ -172,15 +174,15 @@
 }
 
 fn file_argument(mut arguments: Arguments, what: &str) -> Result<String> {
-    let file = arguments.free_from_str().with_context(|| format!("give {what}"))?;
+    let file = arguments.free_from_str().with_context(|| format!("{what} is required"))?;
     let rest = arguments.finish();
     match rest.first() {
         None => Ok(file),
-        Some(word) => bail!("`{}` is not understood; see --help", word.to_string_lossy()),
+        Some(word) => bail!("`{}` is an unexpected argument; see --help", word.to_string_lossy()),
     }
 }
 
-/// A bar on a terminal, nothing elsewhere.
+/// A progress bar on stderr if that is a terminal, else a hidden one.
 fn progress(length: u64) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::with_draw_target(Some(length), ProgressDrawTarget::hidden());
@@ -189,7 +191,7 @@
     ProgressBar::new(length).with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
 }
 
-/// Does `work` for each number, on several threads; results in the order of numbers.
+/// Calls `work` for each number on `jobs` threads; returns the results in the order of the numbers.
 fn map_in_parallel<T: Send>(
     numbers: std::ops::Range<u64>,
     jobs: usize,
@@ -239,7 +241,7 @@
     Ok(if missed { ExitCode::from(EXIT_MISSED) } else { ExitCode::SUCCESS })
 }
 
-/// Prints a report; `true` when an outcome was missed.
+/// Prints a report; returns whether an expected result was missed.
 fn show_report(scenario: &Scenario, report: &Report, json: bool) -> Result<bool> {
     let missed = report.missed_expectations(&scenario.expect);
     if json {
@@ -284,7 +286,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// One line a policy: sums of broken flows and means of imbalance over all seeds.
+/// Prints a line for each policy: sums of flows and broken flows, and means of imbalance, over all
+/// seeds.
 fn print_comparison(services: &[String], policies: &[Policy], compared: &[Vec<Comparison>]) {
     print!("{:<14} {:>9} {:>9}", "policy", "flows", "broken");
     services.iter().for_each(|service| print!(" {service:>12}"));
@@ -321,10 +324,10 @@
     let report = run(&trace.plan)?.report;
     let missed = show_report(&trace.plan.scenario, &report, false)?;
     if report != trace.report {
-        println!("MISSED: the outcomes differ from the recorded ones:\n{}", trace.report.summary());
+        println!("MISSED: the results differ from the recorded ones:\n{}", trace.report.summary());
         return Ok(ExitCode::from(EXIT_MISSED));
     }
-    println!("the outcomes are the recorded ones");
+    println!("the results are the recorded ones");
     Ok(if missed { ExitCode::from(EXIT_MISSED) } else { ExitCode::SUCCESS })
 }
 
@@ -348,7 +351,7 @@
     let explored = explored.into_inner();
     let failures = failures.into_iter().collect::<Result<Vec<_>>>()?;
     let failures: Vec<_> = failures.into_iter().flatten().collect();
-    println!("{explored} timelines explored, {} broke a promise", failures.len());
+    println!("{explored} timelines explored, {} violated an invariant", failures.len());
     let Some(failing) = failures.into_iter().next() else { return Ok(ExitCode::SUCCESS) };
     println!("seed {}: {}", failing.seed, failing.violations.join("; "));
     let smallest = shrink(failing);
--- a/crates/lab/src/caller.rs
+++ b/crates/lab/src/caller.rs
@@ -1,43 +1,45 @@
-//! A simulated caller's flow: request after request, each answer checked byte by byte.
+//! A simulated caller's flow: sends requests one after another and checks every byte of each
+//! answer.
 
 use crate::backend::body_byte;
 use crate::outcome::Outcome;
 use bytes::{Buf, Bytes, BytesMut};
 use std::time::Duration;
 
-/// What callers do on each flow.
+/// What a caller does on a flow.
 #[derive(Clone, Debug)]
 pub struct CallerBehaviour {
-    /// The service that they call.
+    /// Name of the service that it calls.
     pub service: String,
-    /// Requests on one flow.
+    /// Requests on the flow.
     pub requests: u32,
     /// Size of each answer, in bytes.
     pub answer_bytes: usize,
-    /// Pause from an answer to the next request.
+    /// Pause between a complete answer and the next request.
     pub pause: Duration,
-    /// Whether flows offer TCP timestamps.
+    /// Whether the SYN offers TCP timestamps, in which agents store the flow cookie.
     pub timestamps: bool,
 }
 
-/// What a flow does after bytes have arrived.
+/// State of a flow after bytes have arrived.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// Waits for more bytes.
+    /// The answer is incomplete.
     Waiting,
-    /// An answer is whole; the next request comes after the pause.
+    /// The answer is complete; the next request follows after the pause.
     NextRequest,
-    /// The last answer is whole.
+    /// The last answer is complete.
     Finished,
 }
 
-/// One flow of a caller.
+/// State of one flow at its caller.
 #[derive(Debug)]
 pub(crate) struct CallerFlow {
     behaviour: CallerBehaviour,
     remaining_requests: u32,
     current_id: u64,
     received: BytesMut,
+    /// Bytes of the answer's body still to come; `None` while its header line is incomplete.
     remaining_bytes: Option<usize>,
     pub(crate) finished: bool,
 }
@@ -58,7 +60,7 @@
         self.behaviour.pause
     }
 
-    /// The next request, with an identity that no other request has.
+    /// Returns the line of the next request. `id` must differ from that of every other request.
     pub(crate) fn next_request(&mut self, id: u64, outcome: &mut Outcome) -> Bytes {
         self.current_id = id;
         self.remaining_requests -= 1;
@@ -67,7 +69,7 @@
         Bytes::from(format!("{id} {answer_bytes} {service}\n"))
     }
 
-    /// Takes bytes of an answer.
+    /// Receives bytes of the current answer and counts wrong ones.
     pub(crate) fn receive(&mut self, bytes: &[u8], outcome: &mut Outcome) -> Progress {
         self.received.extend_from_slice(bytes);
         if self.remaining_bytes.is_none() {
@@ -81,7 +83,7 @@
         let left = self.remaining_bytes.unwrap_or(0);
         let taken = left.min(self.received.len());
         let filler = body_byte(self.current_id);
-        // Counting all of them is several times faster than stopping at the first.
+        // Counting all wrong bytes is several times faster than stopping at the first one.
         if self.received[..taken].iter().filter(|byte| **byte != filler).count() > 0 {
             outcome.wrong_answers += 1;
         }
--- a/crates/lab/src/compare.rs
+++ b/crates/lab/src/compare.rs
@@ -1,4 +1,4 @@
-//! Compares policies on the same flows.
+//! Compares assignment policies on the same flows.
 
 use crate::assigner::mean;
 use crate::plan::Plan;
@@ -9,20 +9,20 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// One policy's figures on one seed.
+/// Results of one policy with one seed.
 #[derive(Clone, Debug, Serialize)]
 pub struct Comparison {
     /// The seed.
     pub seed: u64,
     /// The policy's name.
     pub policy: &'static str,
-    /// Flows in all.
+    /// Flows that callers opened.
     pub flows: u64,
-    /// Flows broken though their back end lived.
+    /// Flows that broke although their back end and agent were alive.
     pub broken: u64,
-    /// Per service, the mean imbalance of open flows.
+    /// Per service, the mean imbalance of open flows: the largest load over the mean load.
     pub imbalance: Vec<f64>,
-    /// When flows broke, in seconds.
+    /// When each broken flow broke.
     #[serde(skip)]
     pub broken_at: Vec<Duration>,
     /// Per service, the imbalance at each sample.
@@ -32,8 +32,9 @@
 
 /// Runs a scenario once with loftdrift's cores and evaluates each policy on the flows of that run.
 ///
-/// The other policies are evaluated on the log: their back ends never refuse, their packets are
-/// never lost, so that they only break flows by choosing another back end.
+/// Policies other than loftdrift are evaluated on the log of that run, without a simulated network:
+/// no back end refuses a flow and no packet is lost, so they break a flow only by choosing another
+/// back end for one of its later packets.
 pub fn compare(scenario: &Scenario, seed: u64, policies: &[Policy]) -> Result<Vec<Comparison>> {
     let ours = run(&Plan::new(scenario, seed))?;
     let compared = policies.iter().map(|policy| {
--- a/crates/lab/src/event_profile.rs
+++ b/crates/lab/src/event_profile.rs
@@ -1,27 +1,27 @@
-//! What happened when on a day, counted from the nodes' logs: where flows were placed, declined, refused,
-//! and what else the nodes told of.
+//! Counts the events in the logs of nodes (flows placed, declined or refused, and all others) in
+//! time steps of equal length.
 
 use loftdrift_logging::Line;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt::Write;
 
-/// Events of one kind, told apart by the reason that they give.
+/// An event's name, followed by `:` and its reason if the log line has one.
 type EventKind = String;
 
-/// Counts of events by kind in steps of equal length.
+/// Counts of log events by kind and time step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EventProfile {
     /// Length of a step, in milliseconds.
     step_ms: i64,
-    /// The first line's time of day, in milliseconds.
+    /// Time of day of the earliest line, in milliseconds. Step 0 starts here.
     start_ms: i64,
-    /// Counts by step, the first line's step being 0. A step without events has no row.
+    /// Counts per step. A step without events has no row.
     rows: BTreeMap<i64, HashMap<EventKind, u64>>,
 }
 
 impl EventProfile {
-    /// Counts the lines of logs in steps of `step_ms` milliseconds, at least one; lines without a time
-    /// or an event are passed over.
+    /// Counts the events of all logs in steps of `step_ms` milliseconds, at least 1. Lines without
+    /// a time or an event are ignored.
     pub fn from_logs(logs: &[String], step_ms: i64) -> Self {
         let step_ms = step_ms.max(1);
         let lines = || logs.iter().flat_map(|log| log.lines()).map(|text| Line { text });
@@ -40,7 +40,7 @@
         *row.entry(kind).or_default() += 1;
     }
 
-    /// The most frequent kinds, with how often each came.
+    /// The most frequent kinds with their counts, in descending order.
     pub fn kinds(&self, max_kinds: usize) -> Vec<(&str, u64)> {
         let mut totals: BTreeMap<&str, u64> = BTreeMap::new();
         for (kind, count) in self.rows.values().flatten() {
@@ -52,15 +52,16 @@
         kinds
     }
 
-    /// How often a kind came in each step, with the step's begin in seconds since the first line; steps
-    /// in which nothing came are left out.
+    /// Counts of a kind with the start of each step, in seconds since the earliest line. Steps
+    /// without any event are omitted.
     pub fn series(&self, kind: &str) -> Vec<(f64, u64)> {
         let seconds = |step: &i64| (step * self.step_ms) as f64 / 1e3;
         let counts = self.rows.iter().map(|(step, row)| (seconds(step), row.get(kind).copied()));
         counts.map(|(at, count)| (at, count.unwrap_or(0))).collect()
     }
 
-    /// A table of the most frequent kinds between two moments, in seconds since the first line.
+    /// A CSV table of the most frequent kinds, one row per step that has events and starts in
+    /// `from..to` (in seconds since the earliest line).
     pub fn table(&self, max_kinds: usize, from: f64, to: f64) -> String {
         let kinds: Vec<&str> = self.kinds(max_kinds).into_iter().map(|(kind, _)| kind).collect();
         // Writing to a string cannot fail.
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -1,4 +1,5 @@
-//! Random timelines of changes and faults; a failing one is shrunk to a small scenario.
+//! Runs scenarios with random timelines of changes and faults, and shrinks a failing one to a small
+//! scenario.
 
 use crate::plan::Plan;
 use crate::run::run;
@@ -12,30 +13,33 @@
 const MAX_EVENTS: usize = 10;
 const MAX_FREEZE_SECONDS: f64 = 4.0;
 
-/// A timeline that broke a promise.
+/// A timeline that violated an invariant.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// The scenario with its timeline.
+    /// The scenario including the events of the timeline.
     pub scenario: Scenario,
-    /// The seed.
+    /// Seed of the run and of the timeline.
     pub seed: u64,
-    /// What did not hold.
+    /// Each violated invariant, with its count.
     pub violations: Vec<String>,
 }
 
-/// Runs the timeline that belongs to a seed; `None` when every promise held.
+/// Runs `base` with the random timeline of a seed; `None` when every invariant held.
 pub fn explore(base: &Scenario, seed: u64) -> Result<Option<Failure>> {
     failure(&random_timeline(base, seed), seed)
 }
 
-/// Runs a scenario; fails when its timeline makes no sense, as with an event for a missing back end.
+/// Runs a scenario and checks its invariants.
+///
+/// Returns an error when the timeline cannot be executed, for example because an event names a back
+/// end that does not exist.
 fn failure(scenario: &Scenario, seed: u64) -> Result<Option<Failure>> {
     let violations = run(&Plan::new(scenario, seed))?.report.violated_invariants();
     let failed = !violations.is_empty();
     Ok(failed.then(|| Failure { scenario: scenario.clone(), seed, violations }))
 }
 
-/// Leaves out events and flows for as long as the failure stays.
+/// Removes events and reduces the load as long as the scenario still fails.
 pub fn shrink(failing: Failure) -> Failure {
     let mut smallest = failing;
     let mut index = 0;
@@ -57,7 +61,7 @@
     smallest
 }
 
-/// Whether a balancer and, in each service, a back end that takes flows are always left.
+/// Whether a balancer and, in each service, a back end that accepts new flows remain at all times.
 fn is_survivable(scenario: &Scenario) -> bool {
     let mut remaining = Remaining::new(scenario);
     scenario.events.iter().all(|event| {
@@ -91,16 +95,17 @@
     }
 }
 
-/// The back ends and balancers that a timeline has left so far.
+/// Balancers and back ends that remain after the events of a timeline so far.
 struct Remaining {
     balancers: u32,
-    /// Names of back ends that take flows, per service.
+    /// Per service, the names of back ends that accept new flows.
     active: Vec<Vec<String>>,
+    /// Per service, how many back ends were ever added; gives the number of the next one.
     backend_counts: Vec<u32>,
 }
 
-/// A timeline of events that a deployment must survive: a balancer and, in each service, a back
-/// end that takes flows are always left.
+/// Adds a random timeline that a deployment must survive to a scenario: a balancer and, in each
+/// service, a back end that accepts new flows always remain.
 fn random_timeline(base: &Scenario, seed: u64) -> Scenario {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xE8B1);
     let mut scenario = base.clone();
@@ -173,6 +178,7 @@
         }
     }
 
+    /// Removes a random back end of a service and returns its name.
     fn take(&mut self, service: usize, random: &mut ChaCha8Rng) -> String {
         let index = random.random_range(0..self.active[service].len());
         self.active[service].remove(index)
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,12 +1,14 @@
-//! Deterministic simulation of the whole path on a virtual clock.
+//! Deterministic simulation of callers, balancers, agents and back ends on a virtual clock.
 //!
-//! The cores are the daemons' own; this crate stands in for network, clock, back ends and callers.
-//! One thread, one seed, one order of events: the same seed gives the same run.
+//! Balancers and agents run the cores (state machines without I/O) of the real daemons; this crate
+//! simulates the network, the clock, the back ends and the callers. A run uses one thread and one
+//! seed and handles events in one fixed order, so the same seed always gives the same run.
 //!
-//! A [`World`] holds balancers, agents with their back ends, and callers. Scripts change it at
-//! virtual times with [`World::at`]; [`World::run_until`] lets time pass; [`World::outcome`] tells
-//! what callers saw and what ran. A [`Scenario`] is a checked TOML file; [`run()`] carries out a
-//! [`Plan`] of it and reports.
+//! A [`World`] holds balancers, agents with their back ends, and callers. [`World::schedule`] makes
+//! changes at virtual times, [`World::run_until`] advances the clock, and [`World::outcome`]
+//! returns what callers observed and which requests ran. A [`Scenario`] is read from a validated
+//! TOML file; a [`Plan`] adds its randomly drawn flows; [`run()`] executes a plan and returns a
+//! [`Run`] with its report.
 
 mod assigner;
 mod backend;
--- a/crates/lab/src/network.rs
+++ b/crates/lab/src/network.rs
@@ -1,4 +1,4 @@
-//! The simulated network: delay, jitter (and so reordering), loss, duplicates.
+//! The simulated network: delay, jitter (which reorders datagrams), loss and duplication.
 
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
@@ -7,9 +7,9 @@
 /// How the network treats each datagram.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct NetworkSettings {
-    /// Delay of every datagram.
+    /// Minimum one-way delay of a datagram.
     pub delay: Duration,
-    /// Additional delay, drawn evenly from zero to this.
+    /// Maximum additional delay; the actual one is drawn uniformly from zero to this.
     pub jitter: Duration,
     /// Share of datagrams that are lost, from 0 to 1.
     pub loss: f64,
@@ -18,7 +18,7 @@
 }
 
 impl Default for NetworkSettings {
-    /// A zone of today: half a millisecond, some reordering, nothing lost.
+    /// A network within one availability zone: a delay of 0.5 ms, some reordering, no loss.
     fn default() -> Self {
         NetworkSettings {
             delay: Duration::from_micros(500),
@@ -30,7 +30,7 @@
 }
 
 impl NetworkSettings {
-    /// The delays after which the copies of one datagram arrive; none when it is lost.
+    /// Draws the delays after which a datagram and its duplicate arrive.
     pub(crate) fn arrivals(&self, random: &mut ChaCha8Rng) -> Arrivals {
         if self.loss > 0.0 && random.random_bool(self.loss) {
             return Arrivals { first: None, second: None };
@@ -42,9 +42,11 @@
     }
 }
 
-/// Delays after which the copies of one datagram arrive.
+/// Delays after which one datagram arrives.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Arrivals {
+    /// `None` when the datagram is lost.
     pub(crate) first: Option<Duration>,
+    /// `Some` when the datagram is duplicated.
     pub(crate) second: Option<Duration>,
 }
--- a/crates/lab/src/outcome.rs
+++ b/crates/lab/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a run has shown.
+//! Counts of flows, requests and faults that callers and back ends observed in a run.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -8,26 +8,26 @@
 pub struct Outcome {
     /// Flows that callers opened.
     pub flows_opened: u64,
-    /// Flows that ended before their last answer.
+    /// Flows that ended before their last answer was complete.
     pub flows_broken: u64,
-    /// Flows that died with the agent or back end on which they lived.
+    /// Flows that were open at an agent or back end when it was killed.
     pub flows_lost: u64,
-    /// Flows that ended as their callers wanted.
+    /// Flows whose callers received every answer.
     pub flows_finished: u64,
     /// Requests that callers sent.
     pub requests_sent: u64,
-    /// Whole and right answers.
+    /// Complete answers. Wrong content is counted in `wrong_answers`.
     pub answered_whole: u64,
-    /// Answers that were not the ones asked for.
+    /// Answers with a wrong header or body.
     pub wrong_answers: u64,
     /// Answers or requests that reached another service.
     pub misdelivered: u64,
-    /// How often each request ran.
+    /// How often a back end executed each request, by request ID.
     pub executions: BTreeMap<u64, u64>,
 }
 
 impl fmt::Debug for Outcome {
-    /// Everything but the list of runs, of which only the doubled ones are counted.
+    /// Shows only two counts of `executions`: requests run, and requests run more than once.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
             .debug_struct("Outcome")
@@ -56,7 +56,8 @@
         self.flows_opened - self.flows_broken - self.flows_finished
     }
 
-    /// Whether every flow finished, every request was answered whole, and none ran twice.
+    /// Whether every flow finished, every request got a complete and correct answer from its own
+    /// service, and no request ran twice.
     pub fn is_clean(&self) -> bool {
         self.flows_opened > 0
             && self.flows_finished == self.flows_opened
--- a/crates/lab/src/plan.rs
+++ b/crates/lab/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan: a scenario with every random choice of its load made.
+//! A plan: a scenario with its load, all random choices of the load already drawn.
 
 use crate::scenario::Scenario;
 use rand::{Rng, SeedableRng};
@@ -6,14 +6,14 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A flow that is to be opened.
+/// A flow that a caller will open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlannedFlow {
-    /// When, in microseconds.
+    /// When it is opened, in microseconds of virtual time.
     pub at_micros: u64,
-    /// Place of its service in the scenario.
+    /// Index of its service in the scenario.
     pub service: usize,
-    /// Its requests.
+    /// Number of requests on the flow.
     pub requests: u32,
     /// Whether it offers TCP timestamps.
     pub timestamps: bool,
@@ -26,19 +26,19 @@
     }
 }
 
-/// A scenario with its flows.
+/// A scenario with the flows that callers open.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plan {
     /// The scenario.
     pub scenario: Scenario,
-    /// Seed of all other random choices.
+    /// Seed from which the flows were drawn, and of all random choices during the run.
     pub seed: u64,
-    /// The flows in the order of their opening.
+    /// The flows, in the order in which they open.
     pub flows: Vec<PlannedFlow>,
 }
 
 impl Plan {
-    /// Makes the choices that belong to a seed.
+    /// Draws the flows of a scenario from a seed.
     pub fn new(scenario: &Scenario, seed: u64) -> Plan {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut flows = Vec::new();
@@ -68,7 +68,7 @@
     }
 }
 
-/// Poisson arrivals: pauses are distributed exponentially.
+/// The time of the next flow: Poisson arrivals, so the gaps are distributed exponentially.
 fn next_arrival(after: f64, per_second: f64, random: &mut ChaCha8Rng) -> f64 {
     if per_second == 0.0 {
         return f64::INFINITY;
--- a/crates/lab/src/plot.rs
+++ b/crates/lab/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots of a comparison as SVG files.
+//! Plots comparisons and event profiles as SVG files.
 
 use crate::compare::Comparison;
 use crate::event_profile::EventProfile;
@@ -14,7 +14,7 @@
 const PLOT_SIZE_PX: (u32, u32) = (900, 480);
 const LEGEND_LINE_PX: i32 = 20;
 
-/// A plot could not be written.
+/// A plot could not be drawn or written.
 #[derive(Debug, Error)]
 #[error("cannot draw the plot: {0}")]
 pub struct PlotError(String);
@@ -30,7 +30,8 @@
     points: Vec<(f64, f64)>,
 }
 
-/// Writes `broken.svg` and one `imbalance-SERVICE.svg` for each service into a folder.
+/// Writes `broken.svg` and one `imbalance-SERVICE.svg` per service into a folder, with a curve for
+/// each policy.
 pub fn write_plots(
     folder: &Path,
     services: &[String],
@@ -53,7 +54,7 @@
     Ok(())
 }
 
-/// Writes one file with a curve for each of some kinds of events of a day.
+/// Writes one SVG file with a curve of the counts per step for each given kind of event.
 pub fn write_profile_plot(
     file: &Path,
     profile: &EventProfile,
@@ -63,7 +64,7 @@
         name: kind,
         points: profile.series(kind).iter().map(|(at, count)| (*at, *count as f64)).collect(),
     };
-    draw(file, "events a step", &kinds.iter().map(curve).collect::<Vec<_>>())
+    draw(file, "events per step", &kinds.iter().map(curve).collect::<Vec<_>>())
 }
 
 fn cumulative(times: &[Duration]) -> Vec<(f64, f64)> {
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -1,4 +1,4 @@
-//! Assignment policies that loftdrift is compared with, evaluated on the log of a run.
+//! Assignment policies that loftdrift is compared with, evaluated on the log of a simulated run.
 
 use crate::assigner::{Loads, least_loaded, replay};
 use crate::flow_log::{FlowLog, FlowSpan};
@@ -10,32 +10,34 @@
 use std::hash::Hasher;
 use std::time::Duration;
 
-/// Load pages tell the load of so long ago.
+/// How often the loads that [`Policy::StaleChoices`] sees are refreshed.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// Entries of the Maglev-style table, a prime well above the number of back ends.
+/// Entries of a Maglev table: a prime well above the number of back ends.
 const MAGLEV_TABLE_SIZE: usize = 1_021;
 
-/// A policy.
+/// A policy that assigns flows to back ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Policy {
-    /// loftdrift's own cores, as they ran.
+    /// What loftdrift's own cores did in the run.
     Loftdrift,
     /// The flow's hash modulo the number of back ends.
     HashModulo,
-    /// The highest rendezvous score.
+    /// Rendezvous hashing: the back end with the highest score for the flow.
     Rendezvous,
-    /// A Maglev-style table, without state.
+    /// A Maglev lookup table, without state per flow.
     Maglev,
-    /// A Maglev-style table, and on each balancer a table of the flows that it has seen.
+    /// A Maglev lookup table and, on each balancer, a table of the flows that it has seen.
     FlowTable,
-    /// The less loaded of two by load pages a second old, given a flow table shared by magic.
+    /// The less loaded of two random back ends by loads up to 1 s old. Breaks no flow, as if all
+    /// balancers shared one flow table instantly.
     StaleChoices,
-    /// The least loaded, known at every moment, given a flow table shared by magic: the bound.
+    /// The least loaded back end by exact current loads. Breaks no flow, as if all balancers shared
+    /// one flow table instantly: an ideal that no real balancer reaches.
     AllKnowing,
 }
 
 impl Policy {
-    /// Every policy with its name on the command line.
+    /// Every policy with its name on the command line and in results.
     pub const ALL: [(Policy, &'static str); 7] = [
         (Policy::Loftdrift, "loftdrift"),
         (Policy::HashModulo, "hash-modulo"),
@@ -46,27 +48,27 @@
         (Policy::AllKnowing, "all-knowing"),
     ];
 
-    /// Its name.
+    /// The name of the policy.
     pub fn name(self) -> &'static str {
         Self::ALL.iter().find(|(policy, _)| *policy == self).map_or("", |(_, name)| name)
     }
 
-    /// The policy of a name.
+    /// The policy with a given name.
     pub fn parse(name: &str) -> Option<Policy> {
         Self::ALL.iter().find(|(_, known)| *known == name).map(|(policy, _)| *policy)
     }
 }
 
-/// What a policy did with a log of flows.
+/// Results of one policy on one log of flows.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct PolicyRun {
-    /// When flows broke.
+    /// When each broken flow broke.
     pub(crate) broken_at: Vec<Duration>,
     /// Per service, the imbalance at each sample.
     pub(crate) imbalance: Vec<Vec<(Duration, f64)>>,
 }
 
-/// Evaluates a policy other than loftdrift itself.
+/// Evaluates a policy other than [`Policy::Loftdrift`] on a log of flows.
 pub(crate) fn evaluate(policy: Policy, log: &FlowLog, scenario: &Scenario, seed: u64) -> PolicyRun {
     let mut picker = StatelessPicker { tables: HashMap::new() };
     match policy {
@@ -105,7 +107,9 @@
     }
 }
 
-/// When a flow's packet first reaches another back end than its first packet did.
+/// When a packet of the flow first reaches another back end than the flow's first packet did.
+///
+/// Each packet takes a random balancer. Returns `None` when the flow does not break.
 fn first_break(
     policy: Policy,
     picker: &mut StatelessPicker,
@@ -135,10 +139,10 @@
     None
 }
 
-/// What each balancer believes the members to be: changes reach it after a time of their own.
+/// The members as each balancer sees them: a change reaches every balancer after a random delay.
 struct MemberViews<'a> {
     log: &'a FlowLog,
-    /// Per balancer, when each change of members reaches it.
+    /// Per balancer, when it learns of each entry of [`FlowLog::members`].
     arrivals: Vec<Vec<Duration>>,
 }
 
@@ -166,9 +170,9 @@
     }
 }
 
-/// Chooses without state.
+/// Chooses back ends by hashing, without state per flow.
 struct StatelessPicker {
-    /// Maglev tables by service and members.
+    /// Maglev tables already built, by service and members.
     tables: HashMap<(usize, Vec<u32>), Vec<u32>>,
 }
 
@@ -198,7 +202,8 @@
     }
 }
 
-/// Maglev's filling: members take turns to claim the next free entry of their own permutation.
+/// Fills a Maglev table: members take turns to claim the next free entry in the order of their own
+/// permutation of the entries.
 fn maglev_table(members: &[u32]) -> Vec<u32> {
     let mut table: Vec<Option<u32>> = vec![None; MAGLEV_TABLE_SIZE];
     let steps = members.iter().map(|agent| {
@@ -227,7 +232,8 @@
     table.into_iter().flatten().collect()
 }
 
-/// Two random choices on loads that were true at the last whole second.
+/// Power of two choices: the less loaded of two random members, by loads refreshed once per
+/// [`LOAD_REPORT_INTERVAL`].
 fn stale_two_choices(log: &FlowLog) -> impl FnMut(usize, &[u32], &Loads) -> Option<u32> {
     let mut reported = Loads::new();
     let mut next_refresh = Duration::ZERO;
--- a/crates/lab/src/queue.rs
+++ b/crates/lab/src/queue.rs
@@ -1,4 +1,5 @@
-//! The event queue: what happens next, in order of time and then of scheduling.
+//! The event queue of a simulation: events ordered by virtual time, and by insertion at equal
+//! times, so that runs are deterministic.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,6 +7,7 @@
 
 struct Entry<E> {
     at: Duration,
+    /// Sequence number of the insertion.
     order: u64,
     event: E,
 }
@@ -25,13 +27,13 @@
 }
 
 impl<E> Ord for Entry<E> {
-    /// Earlier entries are greater, as the heap gives the greatest first.
+    /// Reversed: earlier entries are greater, since [`BinaryHeap`] pops the greatest entry first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-/// Events by virtual time.
+/// Pending events, ordered by virtual time.
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Entry<E>>,
     next_order: u64,
@@ -50,7 +52,7 @@
         self.heap.push(Entry { at, order, event });
     }
 
-    /// The next event that comes no later than `end`.
+    /// Removes the next event if its time is not after `end`.
     pub(crate) fn pop_until(&mut self, end: Duration) -> Option<(Duration, E)> {
         if self.heap.peek()?.at > end {
             return None;
--- a/crates/lab/src/report.rs
+++ b/crates/lab/src/report.rs
@@ -1,63 +1,65 @@
-//! A run's figures, and whether they are as stated.
+//! Results of a run, checked against invariants and the scenario's expectations.
 
 use crate::scenario::Expectations;
 use serde::{Deserialize, Serialize};
 
-/// Figures of one service.
+/// Results of one service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServiceReport {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Open flows: largest share over the mean, as the mean over time.
+    /// Open flows per back end: the largest count over the mean count, averaged over time.
     pub imbalance: f64,
-    /// The same under an assigner that knows every load at every moment.
+    /// The same for an assigner that always knows the current loads, on the same flows.
     pub all_knowing: f64,
-    /// Busy slots: largest share over the mean, as the mean over time.
+    /// Busy slots per back end: the largest count over the mean count, averaged over time.
     pub busy_imbalance: f64,
 }
 
-/// Figures of one run.
+/// Results of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
     /// Name of the scenario.
     pub scenario: String,
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Flows that callers opened.
     pub flows_opened: u64,
-    /// Flows that ended before their callers wanted.
+    /// Flows that ended before their last answer was complete.
     pub flows_broken: u64,
-    /// Of these, at most: flows that lived on an agent or back end that died.
+    /// Flows that were open at an agent or back end when it was killed. At most this many of
+    /// `flows_broken` are due to such deaths.
     pub flows_lost: u64,
-    /// Flows that were still open at the very end.
+    /// Flows that were still open when the run ended.
     pub flows_unfinished: u64,
-    /// Requests.
+    /// Requests that callers sent.
     pub requests_sent: u64,
-    /// Whole and right answers.
+    /// Complete answers. Wrong content is counted in `wrong_answers`.
     pub answered_whole: u64,
-    /// Wrong answers.
+    /// Answers with a wrong header or body.
     pub wrong_answers: u64,
-    /// Requests or answers of another service.
+    /// Requests that reached a back end of another service, and answers from one.
     pub misdelivered: u64,
-    /// Requests that ran more than once.
+    /// Requests that back ends executed more than once.
     pub doubled: u64,
-    /// Flows opened on back ends more than 3 s after they had been told to leave.
+    /// Flows opened on a leaving back end more than 3 s after the command to leave was accepted.
     pub opened_after_leaving: u64,
-    /// Packets passed on between agents, for each one delivered.
+    /// Packets that one agent forwarded to another, per packet delivered to a back end.
     pub extra_hops: f64,
-    /// Datagrams that arrived.
+    /// Datagrams that arrived at any simulated node.
     pub packets: u64,
-    /// Per service.
+    /// Results of each service, in the order of the scenario.
     pub services: Vec<ServiceReport>,
 }
 
 impl Report {
-    /// Broken flows that no dead agent or back end accounts for, and flows that never ended.
+    /// Broken flows that the death of an agent or back end does not account for, and flows that
+    /// never ended.
     pub fn unexplained_breaks(&self) -> u64 {
         self.flows_broken.saturating_sub(self.flows_lost) + self.flows_unfinished
     }
 
-    /// What always holds and does not hold here.
+    /// Descriptions of the invariants that the run violated. They must hold in every scenario.
     pub fn violated_invariants(&self) -> Vec<String> {
         let mut broken = Vec::new();
         for (name, count) in [
@@ -74,7 +76,7 @@
         broken
     }
 
-    /// Stated outcomes that were missed.
+    /// Descriptions of violated invariants and of the scenario's expectations that were missed.
     pub fn missed_expectations(&self, expect: &Expectations) -> Vec<String> {
         let mut missed = self.violated_invariants();
         if let Some(most) = expect.flows_broken.filter(|most| self.unexplained_breaks() > *most) {
@@ -99,7 +101,7 @@
         missed
     }
 
-    /// One line a service, for people.
+    /// A summary for people: one line for the run and one for each service.
     pub fn summary(&self) -> String {
         let mut text = format!(
             "seed {}: {} flows, {} broken ({} by death of their back end), {} requests, {} whole, \
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,4 +1,4 @@
-//! Runs a plan and reports.
+//! Runs a plan in a simulated world and reports the results.
 
 use crate::assigner::{all_knowing_imbalance, mean};
 use crate::backend::BackendBehaviour;
@@ -19,54 +19,59 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often loads are sampled.
+/// Interval between two samples of the loads.
 pub const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// A back end that leaves opens no flow later than this after the acceptance.
+/// A leaving back end may open flows for this long after the command is accepted, as nodes learn of
+/// it with a delay. Flows opened later count as [`Report::opened_after_leaving`].
 const LEAVING_GRACE: Duration = Duration::from_secs(3);
-/// The fabric turns away from a dead balancer after so long.
+/// The fabric withdraws a dead balancer after this long.
 const FABRIC_FAILOVER: Duration = Duration::from_millis(300);
-/// A stopped balancer forwards for so long.
+/// A stopped balancer keeps forwarding for this long after the fabric has withdrawn it.
 const BALANCER_DRAIN: Duration = Duration::from_secs(1);
-/// Time for the last flows to end after no more are opened.
+/// The run gives up on flows still open this long after the last time at which flows are opened.
 const MAX_TAIL_DURATION: Duration = Duration::from_secs(600);
 const TAIL_STEP: Duration = Duration::from_secs(5);
 const FLOW_BUFFER_BYTES: usize = 4 * 1024;
 const SERVICE_ADDRESS_BASE: u32 = 0x0A14_0000;
 const SERVICE_PORT: u16 = 80;
 
-/// What a run has shown, with the log of its flows.
+/// The results of a run and the log of its flows.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The figures.
+    /// Summary of the results.
     pub report: Report,
-    /// Each flow and the members of each service over time.
+    /// The lifetime of each flow, and the members of each service over time.
     pub log: FlowLog,
     /// Per service, the imbalance of open flows at each sample.
     pub imbalance: Vec<Vec<(Duration, f64)>>,
-    /// When flows broke.
+    /// When each broken flow broke.
     pub broken_at: Vec<Duration>,
 }
 
-/// Samples of one service: largest share over the mean.
+/// Samples of one service: the largest value over the mean, across its back ends.
 #[derive(Clone, Debug, Default)]
 struct ServiceSamples {
+    /// Of open flows.
     flows: Vec<(Duration, f64)>,
+    /// Of busy slots.
     busy: Vec<(Duration, f64)>,
 }
 
-/// What the scripts of a run share.
+/// State of a run, shared by the closures scheduled in its world.
 struct RunState {
     scenario: Scenario,
     random: ChaCha8Rng,
     configuration: Configuration,
     /// Numbers of agents by the names of their back ends.
     agents: BTreeMap<String, u32>,
-    /// Agents that are dead or whose back end is.
+    /// Agents that were killed or whose back end was.
     dead_agents: BTreeSet<u32>,
     next_balancer: u32,
     members: Vec<Members>,
-    /// Agents that are leaving, with the flows that they had opened when they had to have stopped.
+    /// Leaving agents with the number of flows that they had opened by the end of
+    /// [`LEAVING_GRACE`]; they must open none after it.
     drain_baselines: Vec<(u32, u64)>,
+    /// Each opened flow with its service's index, its time of opening and its number of requests.
     flows: Vec<(FlowId, usize, Duration, u32)>,
     samples: Vec<ServiceSamples>,
     errors: Vec<String>,
@@ -74,7 +79,8 @@
 
 type SharedState = Rc<RefCell<RunState>>;
 
-/// Runs a plan to the end of its last flow.
+/// Runs a plan until its last flow has ended, at most [`MAX_TAIL_DURATION`] longer than flows are
+/// opened.
 pub fn run(plan: &Plan) -> Result<Run> {
     let scenario = &plan.scenario;
     let mut world = World::new(WorldSettings {
@@ -105,7 +111,7 @@
         let next = world.now() + TAIL_STEP;
         world.run_until(next);
     }
-    // A script that was never run holds the last other reference.
+    // Closures that never ran still hold references, so the state cannot be moved out.
     let shared = shared.borrow();
     if let Some(problem) = shared.errors.first() {
         return Err(anyhow!("{problem}"));
@@ -113,7 +119,7 @@
     Ok(build_run(&world, &shared, plan))
 }
 
-/// The address of the service in that place of the scenario.
+/// The address of the service with that index in the scenario.
 pub fn service_address(index: usize) -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::from(SERVICE_ADDRESS_BASE + index as u32 + 1), SERVICE_PORT)
 }
@@ -131,7 +137,7 @@
             script.push_str(&state.add_backend(world, &service.name)?);
         }
     }
-    state.apply_script(Duration::ZERO, &script).context("the scenario's services")?;
+    state.apply_script(Duration::ZERO, &script).context("cannot create the scenario's services")?;
     for _ in 0..state.scenario.balancers {
         state.next_balancer += 1;
         world.add_balancer(state.next_balancer);
@@ -225,7 +231,7 @@
         self.agents.get(name).copied().with_context(|| format!("there is no back end `{name}`"))
     }
 
-    /// Starts a back end with its agent; returns the statement that attaches it.
+    /// Starts a back end with its agent; returns the configuration statement that attaches it.
     fn add_backend(&mut self, world: &mut World, service: &str) -> Result<String> {
         let settings = self.scenario.services.iter().find(|one| one.name == service);
         let settings = settings.with_context(|| format!("there is no service `{service}`"))?;
@@ -261,7 +267,8 @@
         Ok(())
     }
 
-    /// Has every node learn the newest configuration, each after its own time.
+    /// Schedules the delivery of the newest configuration to every node, each after its own random
+    /// delay.
     fn distribute(&mut self, world: &mut World, shared: &SharedState) {
         let now = world.now();
         self.note_members(now);
@@ -292,7 +299,7 @@
         leaving.filter_map(|(name, _)| self.agents.get(name).copied()).collect()
     }
 
-    /// Numbers of the agents of a service that take new flows.
+    /// Numbers of the live agents of a service that accept new flows.
     fn accepting_agents(&self, service: usize) -> Vec<u32> {
         let name = &self.scenario.services[service].name;
         let Some(service) = self.configuration.services.get(name) else { return Vec::new() };
@@ -301,7 +308,8 @@
         numbers.filter(|number| !self.dead_agents.contains(number)).collect()
     }
 
-    /// Dead back ends count neither as members nor in the mean.
+    /// Records the death of an agent or of its back end, which then counts neither as a member nor
+    /// in the mean load.
     fn note_death(&mut self, at: Duration, number: u32) {
         self.dead_agents.insert(number);
         self.note_members(at);
@@ -328,7 +336,7 @@
     }
 }
 
-/// The largest over the mean; `None` when all are zero.
+/// The largest load over the mean load; `None` when there are no loads or all are zero.
 pub(crate) fn max_to_mean_ratio(loads: &[usize]) -> Option<f64> {
     let total: usize = loads.iter().sum();
     let largest = loads.iter().copied().max()?;
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Scenarios: topology, load, timeline and stated outcomes, read from checked TOML.
+//! Scenarios: topology, load, timeline of events and expected results, read from validated TOML.
 
 use crate::network::NetworkSettings;
 use loftdrift_findings::{Collector, Findings};
@@ -7,109 +7,112 @@
 use std::time::Duration;
 use toml_edit::{ImDocument, Table};
 
-/// A scenario.
+/// A deployment with its load, its events and its expected results.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// What it shows.
+    /// Name of the scenario, which says what it tests.
     pub name: String,
-    /// How long flows are opened and loads are sampled.
+    /// How long callers open flows and loads are sampled. The run continues until all flows end.
     pub duration: Duration,
-    /// Samples before this time do not count.
+    /// No load is sampled before this time.
     pub warm_up: Duration,
     /// Balancers at the start.
     pub balancers: u32,
-    /// Whether agents send flow cookies.
+    /// Whether agents put flow cookies (the back end's identity) into TCP timestamps.
     pub cookies: bool,
-    /// How long a flow stays unknown before it is reset.
+    /// How long agents wait before they reset a flow that no agent owns.
     pub unknown_grace: Duration,
-    /// A change reaches each node after a time drawn evenly from zero to this.
+    /// Maximum delay until a node learns of a configuration change. Each node's delay is drawn
+    /// uniformly from zero to this.
     pub configuration_lag: Duration,
-    /// The network.
+    /// The network between the nodes.
     pub network: NetworkSettings,
     /// The services.
     pub services: Vec<ScenarioService>,
-    /// What happens, in the file's order.
+    /// Changes and faults, in the order of the file.
     pub events: Vec<ScenarioEvent>,
-    /// What must come out.
+    /// Results that a run must reach.
     pub expect: Expectations,
 }
 
 /// A service with its back ends and its load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScenarioService {
-    /// Its name; its back ends are `NAME-1`, `NAME-2` and so on.
+    /// Name of the service. Its back ends are `NAME-1`, `NAME-2` and so on.
     pub name: String,
     /// Back ends at the start.
     pub backends: u32,
-    /// The first so many back ends stand on the left site, the others on the right.
+    /// How many of the back ends, by number, are at the site `left`; the others are at `right`.
     pub left_backends: u32,
-    /// Slots of each.
+    /// Slots of each back end: requests that it processes at the same time.
     pub slots: u32,
-    /// Length of a new flow's tour.
+    /// How many candidate agents a balancer lists in the packet that opens a flow.
     pub candidates: u32,
     /// Flows opened at the start.
     pub initial_flows: u32,
-    /// Time within which they are opened.
+    /// Time within which the initial flows are opened.
     pub initial_time: Duration,
-    /// Further flows each second.
+    /// Mean rate of further flows (Poisson arrivals).
     pub flows_per_second: f64,
-    /// Requests on each flow: at least, at most.
+    /// Minimum and maximum number of requests on each flow.
     pub requests: (u32, u32),
-    /// Pause between a flow's requests.
+    /// Pause between an answer and the flow's next request.
     pub pause: Duration,
     /// Size of each answer, in bytes.
     pub answer_bytes: usize,
-    /// Time that a request takes.
+    /// Time that a back end takes to process a request.
     pub processing_time: Duration,
     /// Share of flows that offer TCP timestamps, from 0 to 1.
     pub timestamps: f64,
 }
 
-/// Something that happens at a time.
+/// A change or fault at a point in time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScenarioEvent {
-    /// When.
+    /// Virtual time at which it happens.
     pub at: Duration,
-    /// What.
+    /// What happens.
     pub action: Action,
 }
 
-/// What happens.
+/// A change or fault.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// The oldest balancer is stopped as planned.
+    /// The oldest balancer is withdrawn from the fabric and then stopped.
     StopBalancer,
-    /// The oldest balancer dies.
+    /// The oldest balancer dies; the fabric notices it after a delay.
     KillBalancer,
     /// A balancer starts.
     StartBalancer,
-    /// Operators' statements are accepted.
+    /// A script of configuration statements is applied.
     Command(String),
-    /// A back end with its agent starts and is attached to a service.
+    /// A back end starts with its agent and is attached to the named service.
     AddBackend(String),
-    /// An agent dies with its flows.
+    /// The agent of the named back end dies with its flows.
     KillAgent(String),
-    /// A back end dies, its agent lives on.
+    /// The named back end dies; its agent keeps running.
     KillBackend(String),
-    /// An agent is frozen for some time.
+    /// The agent of the named back end does not run for some time.
     FreezeAgent(String, Duration),
 }
 
-/// Stated outcomes; what is missing is not checked.
+/// Limits on the results of a run. A limit of `None` is not checked.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Expectations {
-    /// Flows broken other than by the death of their agent or back end.
+    /// Maximum number of flows broken other than by the death of their agent or back end.
     pub flows_broken: Option<u64>,
-    /// Mean over time of the largest share over the mean, for each service.
+    /// Maximum imbalance of each service: the largest count of open flows over the mean count,
+    /// averaged over time.
     pub imbalance: Option<f64>,
-    /// The same, as a multiple of the all-knowing assigner's on the same flows.
+    /// Maximum of that imbalance divided by the one of an assigner that always knows the current
+    /// loads, on the same flows.
     pub imbalance_ratio: Option<f64>,
-    /// Packets passed on between agents, for each packet delivered.
+    /// Maximum number of packets forwarded between agents, per packet delivered to a back end.
     pub extra_hops: Option<f64>,
 }
 
 impl Scenario {
-    /// Reads a scenario; `file` names it in findings.
+    /// Reads a scenario from TOML text. Findings (errors with their position) name it as `file`.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, Findings> {
         let mut findings = Collector::new(file, text);
         let document = match ImDocument::parse(text) {
@@ -130,7 +133,7 @@
         }
     }
 
-    /// The scenario as a file that [`Scenario::parse`] reads.
+    /// Writes the scenario as TOML text that [`Scenario::parse`] reads back unchanged.
     pub fn to_toml(&self) -> String {
         let mut text = String::new();
         let seconds = |time: Duration| format!("{:?}", time.as_secs_f64());
@@ -217,12 +220,13 @@
     }
 }
 
-/// A reader that returns nothing has recorded a finding, so this is not reached.
+/// A fallback that is never used: when no scenario is read, the collector holds a finding.
 fn empty_findings(file: &str) -> Findings {
     Findings { file: file.to_owned(), list: Vec::new() }
 }
 
-// Each reader below asks for every setting before the first `?`, so that all findings are made.
+// Each function below reads every setting before its first `?`, so that one pass reports all
+// findings.
 
 fn read_scenario(reader: &mut Reader<'_, '_>, no_overrides: &Overrides) -> Option<Scenario> {
     let name = reader.text("name");
@@ -299,7 +303,7 @@
     })
 }
 
-/// A service, or so many copies of it named `NAME1`, `NAME2` and so on.
+/// Reads a service; with `copies = N`, returns N copies of it named `NAME1`, `NAME2` and so on.
 fn read_services(reader: &mut Reader<'_, '_>) -> Option<Vec<ScenarioService>> {
     let copies = reader.count("copies", 1, 1);
     let service = read_service(reader)?;
@@ -331,7 +335,11 @@
     let (min_requests, max_requests) = (min_requests? as u32, max_requests? as u32);
     if min_requests > max_requests {
         let offset = reader.offset();
-        reader.finding(offset, "least_requests is above most_requests".to_owned(), "at most it");
+        reader.finding(
+            offset,
+            "least_requests is above most_requests".to_owned(),
+            "at most most_requests",
+        );
     }
     Some(ScenarioService {
         name: name?,
--- a/crates/lab/src/trace.rs
+++ b/crates/lab/src/trace.rs
@@ -1,9 +1,14 @@
-//! Trace files: a plan with the outcomes that its run had, to be replayed against them.
+//! Trace files: a plan and the report of its run. A replay runs the plan again and compares the
+//! reports.
 //!
-//! Format, version 1: lines of text. `loftdrift-trace 1`; `seed N`; `scenario LINES` followed by so
-//! many lines of TOML; `flows COUNT` followed by one JSON array `[micros, service, requests,
-//! timestamps]` a line; `report` followed by the report as one JSON line; `checksum HEX`, the
-//! SipHash-1-3 of every byte before that line.
+//! Format, version 1, as lines of text:
+//! - `loftdrift-trace 1`
+//! - `seed N`
+//! - `scenario LINES`, followed by that many lines of TOML
+//! - `flows COUNT`, followed by that many lines, each a JSON array `[micros, service, requests,
+//!   timestamps]`
+//! - `report`, followed by the report as one line of JSON
+//! - `checksum HEX`: the SipHash-1-3 of every byte before this line
 
 use crate::plan::{Plan, PlannedFlow};
 use crate::report::Report;
@@ -21,46 +26,46 @@
 /// A recorded run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Trace {
-    /// What was run.
+    /// The plan that was run.
     pub plan: Plan,
-    /// What came out.
+    /// The report of the run.
     pub report: Report,
 }
 
-/// Why a trace is refused.
+/// Why a trace cannot be read.
 #[derive(Debug, Error)]
 pub enum TraceError {
-    /// It ends too early.
+    /// The text ends too early.
     #[error("line {line}: the trace ends where {expected} was expected")]
     Truncated {
-        /// The line that is missing, from 1.
+        /// Number of the missing line, from 1.
         line: usize,
-        /// What should stand there.
+        /// What the line should contain.
         expected: &'static str,
     },
-    /// A line is not what it should be.
+    /// A line is not in the expected form.
     #[error("line {line}: `{found}` found, {expected} expected")]
     Malformed {
-        /// The line, from 1.
+        /// Number of the line, from 1.
         line: usize,
-        /// What stands there.
+        /// What the line contains.
         found: String,
-        /// What should.
+        /// What the line should contain.
         expected: &'static str,
     },
-    /// The bytes are not those that were written.
+    /// The text was altered: its checksum does not match.
     #[error("line {line}: the checksum is not that of the lines before it")]
     Checksum {
-        /// The line of the checksum, from 1.
+        /// Number of the checksum's line, from 1.
         line: usize,
     },
-    /// The scenario inside does not read.
+    /// The scenario in the trace is invalid.
     #[error(transparent)]
     Scenario(#[from] Findings),
 }
 
 impl Trace {
-    /// The trace as text.
+    /// Writes the trace as text.
     pub fn write(&self) -> String {
         let scenario = self.plan.scenario.to_toml();
         let mut text = format!("{HEADER}\nseed {}\n", self.plan.seed);
@@ -79,7 +84,7 @@
         text
     }
 
-    /// Reads a trace and checks every line of it.
+    /// Reads a trace and checks the form of every line and the checksum.
     pub fn read(text: &str) -> Result<Trace, TraceError> {
         let mut reader = TraceReader { lines: text.lines(), line: 0 };
         reader.expect(HEADER)?;
@@ -115,7 +120,7 @@
 
 struct TraceReader<'a> {
     lines: Lines<'a>,
-    /// The line that was read last, from 1.
+    /// Number of the line that was read last, from 1.
     line: usize,
 }
 
--- a/crates/lab/src/world/agents.rs
+++ b/crates/lab/src/world/agents.rs
@@ -1,14 +1,14 @@
-//! What happens at agents and their back ends.
+//! Handles the events of agents and their back ends.
 
 use super::{Event, World};
-use crate::backend::RunningRequest;
+use crate::backend::BackendRequest;
 use loftdrift_agent::Output;
 use loftdrift_flow::{FlowId, SocketCommand, SocketEvent};
 use std::net::SocketAddrV4;
 use std::time::Duration;
 
 impl World {
-    /// When a frozen agent goes on; `None` when it is not frozen.
+    /// When a frozen agent resumes; `None` when it is not frozen.
     pub(super) fn frozen_until(&self, agent: SocketAddrV4) -> Option<Duration> {
         let agent = self.agents.get(&agent)?;
         (agent.frozen_until > self.now).then_some(agent.frozen_until)
@@ -22,14 +22,14 @@
         let Some(agent) = self.agents.get_mut(&address) else {
             return;
         };
-        if agent.timer.is_some_and(|timer| timer <= self.now) {
-            agent.timer = None;
+        if agent.timer_at.is_some_and(|timer| timer <= self.now) {
+            agent.timer_at = None;
         }
         agent.core.handle_timeout(self.now);
         self.process_agent_outputs(address);
     }
 
-    /// Carries out what an agent wants done and sets its timer.
+    /// Carries out the pending outputs of an agent's core and schedules its next timer.
     pub(super) fn process_agent_outputs(&mut self, address: SocketAddrV4) {
         while let Some(agent) = self.agents.get_mut(&address) {
             let Some(output) = agent.core.take_output() else {
@@ -51,8 +51,8 @@
         let Some(next) = agent.core.next_timeout() else {
             return;
         };
-        if agent.timer.is_none_or(|timer| next < timer) {
-            agent.timer = Some(next);
+        if agent.timer_at.is_none_or(|timer| next < timer) {
+            agent.timer_at = Some(next);
             self.queue.push(next, Event::AgentTimer(address));
         }
     }
@@ -91,11 +91,12 @@
         }
     }
 
+    /// Handles the end of a request's processing: queues the answer and starts the next request.
     pub(super) fn finish_request(
         &mut self,
         address: SocketAddrV4,
         flow: FlowId,
-        request: &RunningRequest,
+        request: &BackendRequest,
     ) {
         if let Some(resume_at) = self.frozen_until(address) {
             let request = request.clone();
@@ -111,7 +112,7 @@
         self.process_agent_outputs(address);
     }
 
-    /// Starts waiting requests for which the back end has slots.
+    /// Starts as many waiting requests as the back end has free slots.
     pub(super) fn start_requests(&mut self, address: SocketAddrV4) {
         let Some(agent) = self.agents.get_mut(&address) else {
             return;
@@ -125,6 +126,8 @@
         }
     }
 
+    /// Passes the next chunk of an answer, or the end of the connection, from the back end to its
+    /// agent.
     pub(super) fn deliver_chunk(&mut self, address: SocketAddrV4, flow: FlowId) {
         let Some(agent) = self.agents.get_mut(&address) else {
             return;
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! What happens at callers.
+//! Handles the events of callers.
 
 use super::{Event, FABRIC, OpenFlow, World};
 use crate::caller::Progress;
@@ -24,8 +24,8 @@
     }
 
     pub(super) fn handle_caller_timer(&mut self) {
-        if self.caller_timer.is_some_and(|timer| timer <= self.now) {
-            self.caller_timer = None;
+        if self.caller_timer_at.is_some_and(|timer| timer <= self.now) {
+            self.caller_timer_at = None;
         }
         while let Some(flow) = self.callers.pop_due(self.now) {
             if let Some(open) = self.callers.get_mut(flow) {
@@ -47,7 +47,8 @@
         self.process_caller_commands(flow);
     }
 
-    /// Carries out what a caller's flow wants done and sets its timer.
+    /// Carries out the pending commands of a caller's flow, sends its packets and schedules its
+    /// next timer.
     pub(super) fn process_caller_commands(&mut self, flow: FlowId) {
         while let Some(open) = self.callers.get_mut(flow) {
             let Some(command) = open.body.splice.take_command() else {
@@ -116,12 +117,13 @@
         let Some(next) = self.callers.next_wake_up() else {
             return;
         };
-        if self.caller_timer.is_none_or(|timer| next < timer) {
-            self.caller_timer = Some(next);
+        if self.caller_timer_at.is_none_or(|timer| next < timer) {
+            self.caller_timer_at = Some(next);
             self.queue.push(next, Event::CallerTimer);
         }
     }
 
+    /// Sends a caller's packet to a random balancer in use, as a fabric that sprays packets does.
     pub(super) fn send_through_fabric(&mut self, packet: &[u8]) {
         let Some(balancer) = self.in_use.choose(&mut self.random).copied() else {
             return;
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -1,9 +1,9 @@
-//! The simulated world: its nodes, its clock, its events.
+//! The simulated world: its nodes, its virtual clock and its events.
 
 mod agents;
 mod callers;
 
-use crate::backend::{BackendBehaviour, RunningRequest, SimulatedBackend};
+use crate::backend::{BackendBehaviour, BackendRequest, SimulatedBackend};
 use crate::caller::{CallerBehaviour, CallerFlow};
 use crate::network::NetworkSettings;
 use crate::outcome::Outcome;
@@ -25,7 +25,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// UDP address of the fabric.
+/// UDP address of the fabric, which routes callers' packets to balancers and answers to callers.
 pub const FABRIC: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, 1), 6081);
 
 const GENEVE_PORT: u16 = 6081;
@@ -47,9 +47,9 @@
     pub seed: u64,
     /// The network between all nodes.
     pub network: NetworkSettings,
-    /// Whether agents send flow cookies.
+    /// Whether agents put flow cookies (the back end's identity) into TCP timestamps.
     pub cookies: bool,
-    /// How long a flow stays unknown before it is reset.
+    /// How long agents wait before they reset a flow that no agent owns.
     pub unknown_grace: Duration,
     /// Size of each of a flow's buffers at an agent, in bytes.
     pub flow_buffer_bytes: usize,
@@ -73,7 +73,7 @@
     BalancerTick(SocketAddrV4),
     CallerTimer,
     NextRequest(FlowId),
-    Answer { agent: SocketAddrV4, flow: FlowId, request: RunningRequest },
+    Answer { agent: SocketAddrV4, flow: FlowId, request: BackendRequest },
     Script(Script),
 }
 
@@ -82,8 +82,8 @@
 struct SimulatedAgent {
     core: Agent,
     backend: SimulatedBackend,
-    timer: Option<Duration>,
-    /// The process is frozen until then; what arrives meanwhile waits.
+    timer_at: Option<Duration>,
+    /// The process does not run until then; datagrams and timers wait.
     frozen_until: Duration,
 }
 
@@ -100,23 +100,23 @@
     random: ChaCha8Rng,
     chart: Arc<FlowChart>,
     balancers: BTreeMap<SocketAddrV4, Balancer>,
-    /// Balancers to which the fabric sprays.
+    /// Balancers among which the fabric distributes packets.
     in_use: Vec<SocketAddrV4>,
     agents: BTreeMap<SocketAddrV4, SimulatedAgent>,
     callers: FlowTable<OpenFlow>,
-    caller_timer: Option<Duration>,
+    caller_timer_at: Option<Duration>,
     next_request_id: u64,
     next_caller_number: u32,
     buffer: Vec<u8>,
     outcome: Outcome,
     packets: u64,
-    /// When callers' flows ended, whichever way.
+    /// When each ended flow ended, finished or broken.
     ended: BTreeMap<FlowId, Duration>,
     broken_at: Vec<Duration>,
 }
 
 impl World {
-    /// An empty world. Fails only when the built-in chart is broken.
+    /// Creates an empty world. Fails only if the built-in state chart of flows is invalid.
     pub fn new(settings: WorldSettings) -> Result<Self, Findings> {
         Ok(World {
             now: Duration::ZERO,
@@ -127,7 +127,7 @@
             in_use: Vec::new(),
             agents: BTreeMap::new(),
             callers: FlowTable::default(),
-            caller_timer: None,
+            caller_timer_at: None,
             next_request_id: 0,
             next_caller_number: 0,
             buffer: vec![0; HEADROOM_BYTES + usize::from(u16::MAX)],
@@ -154,17 +154,17 @@
         self.now
     }
 
-    /// Datagrams that have arrived somewhere.
+    /// Datagrams that have arrived at any node.
     pub fn packets(&self) -> u64 {
         self.packets
     }
 
-    /// What the run has shown so far.
+    /// Counts of the run so far.
     pub fn outcome(&self) -> &Outcome {
         &self.outcome
     }
 
-    /// Adds a balancer, to which the fabric sprays from now on.
+    /// Adds a balancer, to which the fabric sends packets from now on.
     pub fn add_balancer(&mut self, number: u32) {
         let address = Self::balancer_address(number);
         self.balancers.insert(address, Balancer::new(PROBE_SETTINGS));
@@ -172,18 +172,18 @@
         self.queue.push(self.now, Event::BalancerTick(address));
     }
 
-    /// The fabric sends no more packets to a balancer, which still forwards those it has.
+    /// Stops the fabric from sending packets to a balancer, which still forwards those on the way.
     pub fn withdraw_balancer(&mut self, number: u32) {
         let address = Self::balancer_address(number);
         self.in_use.retain(|in_use| *in_use != address);
     }
 
-    /// A balancer dies; the fabric sends packets to it until it is withdrawn.
+    /// Kills a balancer. The fabric sends packets to it until it is withdrawn; they are lost.
     pub fn kill_balancer(&mut self, number: u32) {
         self.balancers.remove(&Self::balancer_address(number));
     }
 
-    /// Adds an agent beside a back end.
+    /// Adds a back end and its agent.
     pub fn add_agent(
         &mut self,
         number: u32,
@@ -201,31 +201,31 @@
             seed: self.random.random(),
         })?;
         let backend = SimulatedBackend::new(behaviour);
-        let agent = SimulatedAgent { core, backend, timer: None, frozen_until: Duration::ZERO };
+        let agent = SimulatedAgent { core, backend, timer_at: None, frozen_until: Duration::ZERO };
         self.agents.insert(Self::agent_address(number), agent);
         Ok(())
     }
 
-    /// An agent dies with all of its flows.
+    /// Kills an agent with all of its flows.
     pub fn kill_agent(&mut self, number: u32) {
         if let Some(agent) = self.agents.remove(&Self::agent_address(number)) {
             self.outcome.flows_lost += agent.core.flow_count() as u64;
         }
     }
 
-    /// An agent is frozen and goes on later; what arrives meanwhile waits.
+    /// Freezes an agent for some time; what arrives meanwhile waits.
     pub fn freeze_agent(&mut self, number: u32, time: Duration) {
         if let Some(agent) = self.agents.get_mut(&Self::agent_address(number)) {
             agent.frozen_until = self.now + time;
         }
     }
 
-    /// Numbers of the balancers to which the fabric sprays.
+    /// Numbers of the balancers to which the fabric sends packets, oldest first.
     pub fn balancers_in_use(&self) -> Vec<u32> {
         self.in_use.iter().map(|address| address.ip().to_bits() - BALANCER_ADDRESS_BASE).collect()
     }
 
-    /// A back end dies with all of its connections; its agent lives on.
+    /// Kills a back end with all of its connections; its agent keeps running.
     pub fn kill_backend(&mut self, number: u32) {
         let address = Self::agent_address(number);
         let Some(agent) = self.agents.get_mut(&address) else {
@@ -244,7 +244,7 @@
         self.agents.get(&Self::agent_address(number)).map(|agent| &agent.core)
     }
 
-    /// Requests that a back end works on now.
+    /// Requests that the back end of an agent is processing.
     pub fn busy_slots(&self, number: u32) -> usize {
         self.agents.get(&Self::agent_address(number)).map_or(0, |agent| agent.backend.busy_slots())
     }
@@ -254,14 +254,14 @@
         self.balancers.get(&Self::balancer_address(number))
     }
 
-    /// A balancer learns a configuration.
+    /// Gives a balancer a configuration.
     pub fn configure_balancer(&mut self, number: u32, configuration: &Configuration) {
         if let Some(core) = self.balancers.get_mut(&Self::balancer_address(number)) {
             core.adopt(self.now, configuration);
         }
     }
 
-    /// An agent learns a configuration.
+    /// Gives an agent a configuration.
     pub fn configure_agent(&mut self, number: u32, configuration: &Configuration) {
         if let Some(agent) = self.agents.get_mut(&Self::agent_address(number)) {
             agent.core.adopt(self.now, configuration);
@@ -269,7 +269,7 @@
         self.process_agent_outputs(Self::agent_address(number));
     }
 
-    /// Every node learns a configuration.
+    /// Gives every node a configuration.
     pub fn configure_all(&mut self, configuration: &Configuration) {
         for core in self.balancers.values_mut() {
             core.adopt(self.now, configuration);
@@ -283,12 +283,12 @@
         }
     }
 
-    /// Runs a script at a virtual time.
+    /// Schedules a script, a change of the world, at a virtual time.
     pub fn schedule(&mut self, time: Duration, script: impl FnOnce(&mut World) + 'static) {
         self.queue.push(time, Event::Script(Box::new(script)));
     }
 
-    /// A caller opens a flow to a service.
+    /// Opens a flow from a new caller to a service.
     pub fn open_flow(&mut self, service: SocketAddrV4, behaviour: &CallerBehaviour) -> FlowId {
         let caller = self.next_caller_address();
         let key = FlowKey { caller, service, transport: Transport::Tcp };
@@ -310,17 +310,17 @@
         flow
     }
 
-    /// Every caller vanishes without a word; their flows no longer count.
+    /// Removes all callers without closing their flows, which are then not counted further.
     pub fn drop_callers(&mut self) {
         self.callers = FlowTable::default();
     }
 
-    /// When flows broke.
+    /// When each broken flow broke.
     pub fn broken_at(&self) -> &[Duration] {
         &self.broken_at
     }
 
-    /// When a caller's flow ended, whichever way; `None` while it goes on.
+    /// When a flow ended, finished or broken; `None` while it is open.
     pub fn ended_at(&self, flow: FlowId) -> Option<Duration> {
         self.ended.get(&flow).copied()
     }
@@ -335,7 +335,7 @@
         SocketAddrV4::new(host, (FIRST_PORT + number % CALLERS_PER_HOST) as u16)
     }
 
-    /// Lets virtual time pass.
+    /// Advances the virtual clock to `end` and handles every event until then.
     pub fn run_until(&mut self, end: Duration) {
         while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = at;
--- a/crates/lab/tests/disagreement.rs
+++ b/crates/lab/tests/disagreement.rs
@@ -1,4 +1,5 @@
-//! Balancers and agents at different configurations still find every flow, and no one resets it.
+//! Balancers and agents that hold different configurations still route every flow to the agent that
+//! owns it, and none of them resets it.
 
 mod support;
 
@@ -11,13 +12,14 @@
 
 const REQUESTS: u32 = 4;
 
-/// Two back ends, then a third, then the first drains, then a fourth, then the second drains.
+/// Configurations: two back ends, then a third, then the first drains, then a fourth, then the
+/// second drains.
 fn history() -> Vec<Configuration> {
     configurations(&[create(2), attach(3), drain(1), attach(4), drain(2)])
 }
 
-/// One balancer opens flows at the newest configuration, on back ends that the other balancer and
-/// the agents on its lists have never heard of, until everything arrives twelve seconds later.
+/// Balancer 1 holds the newest configuration and opens flows on back ends that balancer 2 and the
+/// agents that it lists as candidates do not know. After 12 s every node gets the newest one.
 fn run(settings: WorldSettings, history: &[Configuration], timestamps: bool) -> Outcome {
     let mut world = world(settings, 2, 4);
     let newest = history.last().expect("a configuration").clone();
@@ -44,8 +46,8 @@
     }
 }
 
-/// The same with the mechanism off: an unknown flow is reset at once and flows carry no cookie.
-/// The scenario must be able to break flows, or the proof above shows nothing.
+/// The same scenario with the protection off: agents reset an unknown flow at once, and flows carry
+/// no cookie. It must break flows, or the test above would prove nothing.
 #[test]
 fn without_cookie_and_silence_the_same_scenario_breaks_flows() {
     let settings =
@@ -54,7 +56,7 @@
     assert!(outcome.flows_broken > 0, "{outcome:?}");
 }
 
-/// Every combination of the configurations that opener, carrier and the three agents hold.
+/// Every combination of three configurations that two balancers and three agents hold.
 #[test]
 fn every_combination_of_configurations_of_a_small_group() {
     let list = configurations(&[create(2), attach(3), drain(1)]);
@@ -69,9 +71,8 @@
     }
 }
 
-/// Every combination of the configurations, from two before to two after the one in the middle,
-/// that two balancers and three agents hold, with a drain and two additions between them and a
-/// network that reorders and doubles packets.
+/// Every combination of five successive configurations (two additions, a drain and its reversal)
+/// that two balancers and three agents hold, on a network that reorders and duplicates packets.
 #[test]
 fn established_flows_survive_every_combination_of_five_configurations() {
     let list = configurations(&[create(1), attach(2), drain(1), attach(3), activate(1)]);
@@ -87,8 +88,8 @@
                 duplicates: 0.2,
             };
             let outcome = run_combination(network, &list, &held, timestamps);
-            // A new flow is refused at once when nobody that its SYN reaches knows a back end that
-            // takes flows. One that is established sends all of its requests and finishes.
+            // A new flow is refused when no node that its SYN reaches knows a back end that accepts
+            // flows. An established flow must send all of its requests and finish.
             let refused_or_finished = outcome.flows_broken + outcome.flows_finished;
             assert_eq!(refused_or_finished, outcome.flows_opened, "{held:?}: {outcome:?}");
             let requests = outcome.flows_finished * u64::from(REQUESTS);
@@ -103,7 +104,8 @@
     }
 }
 
-/// `held` gives, in order, what balancer 1, balancer 2 and agents 1 to 3 hold until second 4.
+/// Runs with different configurations until second 4: `held` gives the index of the one that
+/// balancer 1, balancer 2 and agents 1 to 3 hold, in this order.
 fn run_combination(
     network: NetworkSettings,
     list: &[Configuration],
--- a/crates/lab/tests/event_profile.rs
+++ b/crates/lab/tests/event_profile.rs
@@ -1,4 +1,4 @@
-//! Counting a day's events from logs.
+//! Counts events in the logs of nodes.
 
 use loftdrift_lab::EventProfile;
 
--- a/crates/lab/tests/planned_changes.rs
+++ b/crates/lab/tests/planned_changes.rs
@@ -1,4 +1,5 @@
-//! Established flows survive every planned change, a balancer's death and a bad network.
+//! Established flows survive every planned change, a balancer's death and a bad network; the death
+//! of an agent or back end breaks only its own flows.
 
 mod support;
 
@@ -75,7 +76,7 @@
     world.configure_all(&list[0]);
     open_flows(&mut world, 200, seconds(0.0), seconds(20.0), &callers(3, seconds(0.2), true));
     let drained = list[1].clone();
-    // The agent learns of the drain; the balancers never do.
+    // Only the agent learns of the drain; the balancers still list it as a candidate.
     world.schedule(seconds(8.0), move |world| world.configure_agent(1, &drained));
     world.run_until(seconds(8.1));
     let opened = |world: &loftdrift_lab::World| {
@@ -116,7 +117,7 @@
         let own = world.agent(1).map_or(0, loftdrift_agent::Agent::flow_count) as u64;
         assert!(own > 0);
         world.kill_agent(1);
-        // New flows pass the dead agent by once the balancers have found it silent.
+        // By now the balancers have found that the dead agent answers no probes and skip it.
         open_flows(&mut world, 40, seconds(8.0), seconds(9.0), &callers(5, seconds(0.2), true));
         world.run_until(seconds(200.0));
         let outcome = world.outcome();
@@ -139,7 +140,7 @@
         let own = world.agent(1).map_or(0, loftdrift_agent::Agent::flow_count) as u64;
         assert!(own > 0);
         world.kill_backend(1);
-        // Its agent now has the lowest load of all.
+        // Its agent now has the lowest load of all, which must not attract new flows.
         open_flows(&mut world, 60, seconds(4.0), seconds(8.0), &callers(5, seconds(0.2), true));
         world.run_until(seconds(200.0));
         let outcome = world.outcome();
@@ -148,7 +149,8 @@
     }
 }
 
-/// Callers without timestamps, more back ends than a packet can ask: history must find the flows.
+/// Without TCP timestamps there is no cookie, and the pool has more back ends than a packet can
+/// list as candidates: balancers must find the flows by the earlier generations that they keep.
 #[test]
 fn members_of_a_large_pool_change_and_history_finds_the_flows() {
     const BACKENDS: u32 = 20;
@@ -167,7 +169,8 @@
     assert_clean(world.outcome(), 5);
 }
 
-/// Callers without timestamps, more changes than generations are kept, in a small pool.
+/// Without TCP timestamps there is no cookie, and the pool changes more often than balancers keep
+/// generations. One packet can still list every back end.
 #[test]
 fn flows_outlive_the_kept_history_in_a_small_pool() {
     let settings = WorldSettings { seed: 6, ..WorldSettings::default() };
@@ -185,8 +188,8 @@
     assert_clean(world.outcome(), 6);
 }
 
-/// Callers without timestamps, more changes than generations are kept, and more back ends than one
-/// list holds.
+/// Without TCP timestamps there is no cookie, the pool changes more often than balancers keep
+/// generations, and it has more back ends than one packet can list.
 #[test]
 fn flows_outlive_the_kept_history_in_a_large_pool() {
     const BACKENDS: u32 = 20;
@@ -237,7 +240,7 @@
     assert_clean(world.outcome(), 1);
 }
 
-/// A caller that vanishes without a word must not hold its place at the back end for ever.
+/// A caller that disappears without closing its flow must not occupy the back end for ever.
 #[test]
 fn the_flow_of_a_caller_that_vanished_is_given_up() {
     let mut world = world(WorldSettings::default(), 1, 1);
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -1,8 +1,8 @@
-//! The committed scenarios hold what they state, on a short fixed set of seeds.
+//! The scenarios of the repository reach their expected results on a few fixed seeds.
 
 use loftdrift_lab::{Plan, Policy, Scenario, compare, explore, run};
 
-/// Too large for a test; `docs/RESULTS.md` names the command.
+/// Takes too long for a test; `docs/RESULTS.md` has the command that runs it.
 const LARGE: &str = "size.toml";
 const EXPLORED_SEEDS: u64 = 60;
 const PLANNED: [&str; 4] = ["rolling-balancers", "drain-all", "migration", "flapping"];
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn every_scenario_holds_what_it_states() {
+fn every_scenario_reaches_its_expected_results() {
     let folder = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
     for file in std::fs::read_dir(folder).expect("a folder") {
         let name = file.expect("a file").file_name().into_string().expect("a name");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_missed_outcome_is_told() {
+fn a_missed_expectation_is_reported() {
     let mut scenario = read("small-pools.toml");
     scenario.expect.imbalance = Some(1.0);
     scenario.expect.extra_hops = Some(0.0);
@@ -60,15 +60,16 @@
 }
 
 #[test]
-fn random_timelines_keep_the_promises() {
+fn random_timelines_violate_no_invariant() {
     let base = read("explore.toml");
     for seed in 1..=EXPLORED_SEEDS {
-        let failure = explore(&base, seed).expect("a timeline that makes sense");
+        let failure = explore(&base, seed).expect("a valid timeline");
         assert!(failure.is_none(), "seed {seed}: {failure:?}");
     }
 }
 
-/// With cookies and silence off, exploration must find what they are for.
+/// Without flow cookies, and with agents that reset unknown flows at once, exploration must find
+/// broken flows.
 #[test]
 fn exploration_finds_a_missing_mechanism_and_shrinks_it() {
     const MAX_SEEDS: u64 = 150;
@@ -79,8 +80,8 @@
         service.timestamps = 0.0;
         service.flows_per_second = 6.0;
     }
-    let find = |seed| explore(&base, seed).expect("a timeline that makes sense");
-    let failure = (1..=MAX_SEEDS).find_map(find).expect("a broken promise");
+    let find = |seed| explore(&base, seed).expect("a valid timeline");
+    let failure = (1..=MAX_SEEDS).find_map(find).expect("a violated invariant");
     let before = failure.scenario.events.len();
     let smallest = loftdrift_lab::shrink(failure);
     assert!(smallest.scenario.events.len() <= before);
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Worlds and configurations that several proofs use.
+//! Worlds, configurations and callers that several tests share.
 
 #![allow(dead_code)]
 
@@ -31,7 +31,7 @@
     list
 }
 
-/// The statement that attaches the tile back end with that number, beside the agent of that number.
+/// The statement that attaches the tile back end with that number and its agent.
 pub fn attach(number: u32) -> String {
     format!(
         "attach backend tiles-{number} to tiles at 127.0.0.1:{} agent {} slots 7 state active",
@@ -72,7 +72,7 @@
     world
 }
 
-/// Callers with flows of `requests` requests, `pause` apart.
+/// Callers that send `requests` requests per flow, each `pause` after the previous answer.
 pub fn callers(requests: u32, pause: Duration, timestamps: bool) -> CallerBehaviour {
     CallerBehaviour {
         service: "tiles".to_owned(),
@@ -83,7 +83,7 @@
     }
 }
 
-/// Opens `count` flows evenly between two times.
+/// Schedules the opening of `count` flows, evenly spread between two times.
 pub fn open_flows(
     world: &mut World,
     count: u32,
--- a/crates/lab/tests/traces.rs
+++ b/crates/lab/tests/traces.rs
@@ -1,4 +1,5 @@
-//! The same seed gives the same bytes; a trace that was altered or cut is refused with its place.
+//! The same seed gives the same trace, byte for byte. An altered trace is refused, and a truncated
+//! one with the line at which it ends.
 
 use loftdrift_lab::{Plan, Scenario, Trace, TraceError, run};
 
