--- a/crates/lab/src/bin/loftdrift-lab.rs
+++ b/crates/lab/src/bin/loftdrift-lab.rs
@@ -32,8 +32,8 @@
       runs the scenario with random timelines of changes and faults; the first failing one is shrunk
       and written as a scenario that `run` accepts
   carried [--seed N | --seeds A..B] [--balancers N] [--weak N]
-      runs carried flows under random faults and checks the users' rules; --weak: how many balancers
-      are short of processor time
+      runs carried flows (which end at the back end, not at its agent) under random faults and checks
+      that none is broken or misrouted; --weak: how many balancers are short of processor time
   profile LOG... [--step-ms N] [--from S] [--to S] [--plot FILE.svg]
       counts the events in the logs of nodes in steps of N milliseconds (default 100), as a CSV
       table; --plot: also draws the flows placed, declined and refused
@@ -102,7 +102,7 @@
         bail!("--balancers 0: at least one balancer is needed");
     }
     let bar = progress(seeds.end.saturating_sub(seeds.start));
-    let (mut days, mut asked, mut served) = (0_u64, 0, 0);
+    let (mut runs, mut asked, mut served) = (0_u64, 0, 0);
     for seed in seeds {
         let faults = random_day_with_evacuations(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(CarriedWorldSettings { seed, ..settings }, &faults).run();
@@ -110,10 +110,10 @@
             println!("seed {seed} violates a rule: {outcome:?}\n{faults:#?}");
             return Ok(ExitCode::from(EXIT_MISSED));
         }
-        (days, asked, served) = (days + 1, asked + outcome.asked, served + outcome.served);
+        (runs, asked, served) = (runs + 1, asked + outcome.asked, served + outcome.served);
         bar.inc(1);
     }
-    println!("{days} runs, none violated a rule; {served} of {asked} requests served");
+    println!("{runs} runs, none violated a rule; {served} of {asked} requests served");
     Ok(ExitCode::SUCCESS)
 }
 
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -79,8 +79,8 @@
 
 type SharedState = Rc<RefCell<RunState>>;
 
-/// Runs a plan until its last flow has ended, at most [`MAX_TAIL_DURATION`] longer than flows are
-/// opened.
+/// Runs a plan until its last flow has ended, at most `MAX_TAIL_DURATION` longer than flows are
+/// opened. Fails when an event cannot be applied, for example because it names a missing back end.
 pub fn run(plan: &Plan) -> Result<Run> {
     let scenario = &plan.scenario;
     let mut world = World::new(WorldSettings {
