--- a/crates/lab/src/assigner.rs
+++ b/crates/lab/src/assigner.rs
@@ -45,6 +45,7 @@
     samples
 }
 
+/// Removes the flows that have ended by `until` from the loads.
 fn remove_ended_flows(
     flow_ends: &mut BinaryHeap<Reverse<(Duration, usize, u32)>>,
     loads: &mut Loads,
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -8,6 +8,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
+/// Answers are sent in chunks of at most this size.
 const CHUNK_BYTES: usize = 4 * 1024;
 
 /// Service, processing time and capacity of a back end.
@@ -86,10 +87,12 @@
         !self.dead
     }
 
+    /// Forgets a connection; answers to its requests are dropped.
     pub(crate) fn drop_connection(&mut self, flow: FlowId) {
         self.connections.remove(&flow);
     }
 
+    /// Records that the caller has finished sending.
     pub(crate) fn note_peer_finished(&mut self, flow: FlowId) {
         if let Some(connection) = self.connections.get_mut(&flow) {
             connection.peer_finished = true;
@@ -104,6 +107,7 @@
             .is_some_and(|connection| connection.peer_finished && connection.to_send.is_empty())
     }
 
+    /// Lets the back end send one more chunk of the flow.
     pub(crate) fn grant_credit(&mut self, flow: FlowId) {
         if let Some(connection) = self.connections.get_mut(&flow) {
             connection.has_credit = true;
--- a/crates/lab/src/bin/loftdrift-lab.rs
+++ b/crates/lab/src/bin/loftdrift-lab.rs
@@ -32,8 +32,8 @@
       runs the scenario with random timelines of changes and faults; the first failing one is shrunk
       and written as a scenario that `run` accepts
   carried [--seed N | --seeds A..B] [--balancers N] [--weak N]
-      runs carried flows (which end at the back end, not at its agent) under random faults and checks
-      that none is broken or misrouted; --weak: how many balancers are short of processor time
+      runs carried flows (which end at the back end, not at its agent) under random faults and
+      checks that none is broken or misrouted; --weak: how many balancers are short of CPU time
   profile LOG... [--step-ms N] [--from S] [--to S] [--plot FILE.svg]
       counts the events in the logs of nodes in steps of N milliseconds (default 100), as a CSV
       table; --plot: also draws the flows placed, declined and refused
@@ -85,8 +85,8 @@
     }
 }
 
-/// Runs carried flows under random faults, once per seed; stops at the first run that violates a
-/// rule.
+/// Runs carried flows under random faults, once per seed; stops at the first run that violates one
+/// of the rules of [`loftdrift_lab::CarriedOutcome`].
 fn carried_command(mut arguments: Arguments) -> Result<ExitCode> {
     let seeds = seeds(&mut arguments)?;
     let defaults = CarriedWorldSettings::default();
--- a/crates/lab/src/event_profile.rs
+++ b/crates/lab/src/event_profile.rs
@@ -82,6 +82,7 @@
     }
 }
 
+/// The kind of a line's event; `None` when the line has no event.
 fn kind(line: &Line<'_>) -> Option<EventKind> {
     let event = line.value("event")?;
     Some(match line.value("reason") {
--- a/crates/lab/src/explore.rs
+++ b/crates/lab/src/explore.rs
@@ -26,14 +26,14 @@
 
 /// Runs `base` with the random timeline of a seed; `None` when every invariant held.
 pub fn explore(base: &Scenario, seed: u64) -> Result<Option<Failure>> {
-    failure(&random_timeline(base, seed), seed)
+    run_and_check(&random_timeline(base, seed), seed)
 }
 
-/// Runs a scenario and checks its invariants.
+/// Runs a scenario; returns a failure if it violates an invariant.
 ///
 /// Returns an error when the timeline cannot be executed, for example because an event names a back
 /// end that does not exist.
-fn failure(scenario: &Scenario, seed: u64) -> Result<Option<Failure>> {
+fn run_and_check(scenario: &Scenario, seed: u64) -> Result<Option<Failure>> {
     let violations = run(&Plan::new(scenario, seed))?.report.violated_invariants();
     let failed = !violations.is_empty();
     Ok(failed.then(|| Failure { scenario: scenario.clone(), seed, violations }))
@@ -50,7 +50,7 @@
             index += 1;
             continue;
         }
-        match failure(&candidate, smallest.seed) {
+        match run_and_check(&candidate, smallest.seed) {
             Ok(Some(failure)) => smallest = failure,
             Ok(None) | Err(_) => index += 1,
         }
@@ -63,7 +63,7 @@
 
 /// Whether a balancer and, in each service, a back end that accepts new flows remain at all times.
 fn is_survivable(scenario: &Scenario) -> bool {
-    let mut remaining = Remaining::new(scenario);
+    let mut remaining = RemainingNodes::new(scenario);
     scenario.events.iter().all(|event| {
         match &event.action {
             Action::StopBalancer | Action::KillBalancer => {
@@ -73,6 +73,7 @@
             Action::AddBackend(service) => remaining.add(scenario, service),
             Action::KillAgent(name) | Action::KillBackend(name) => remaining.remove(name),
             Action::Command(command) => {
+                // The commands of a random timeline are all `drain backend NAME`.
                 remaining.remove(command.rsplit(' ').next().unwrap_or_default());
             }
             Action::FreezeAgent(..) => {}
@@ -81,6 +82,7 @@
     })
 }
 
+/// Halves the load of a service as long as the scenario still fails.
 fn shrink_load(mut smallest: Failure, service: usize) -> Failure {
     loop {
         let mut candidate = smallest.scenario.clone();
@@ -88,7 +90,7 @@
         load.initial_flows /= 2;
         load.flows_per_second /= 2.0;
         let is_empty = load.initial_flows == 0 && load.flows_per_second < 0.1;
-        match failure(&candidate, smallest.seed) {
+        match run_and_check(&candidate, smallest.seed) {
             Ok(Some(failure)) if !is_empty => smallest = failure,
             _ => return smallest,
         }
@@ -96,7 +98,7 @@
 }
 
 /// Balancers and back ends that remain after the events of a timeline so far.
-struct Remaining {
+struct RemainingNodes {
     balancers: u32,
     /// Per service, the names of back ends that accept new flows.
     active: Vec<Vec<String>>,
@@ -109,7 +111,7 @@
 fn random_timeline(base: &Scenario, seed: u64) -> Scenario {
     let mut random = ChaCha8Rng::seed_from_u64(seed ^ 0xE8B1);
     let mut scenario = base.clone();
-    let mut remaining = Remaining::new(base);
+    let mut remaining = RemainingNodes::new(base);
     let mut times: Vec<f64> = (0..random.random_range(1..=MAX_EVENTS))
         .map(|_| random.random_range(0.5..base.duration.as_secs_f64()))
         .collect();
@@ -121,12 +123,12 @@
     scenario
 }
 
-impl Remaining {
+impl RemainingNodes {
     fn new(base: &Scenario) -> Self {
         let names = |service: &ScenarioService| {
             (1..=service.backends).map(|number| format!("{}-{number}", service.name)).collect()
         };
-        Remaining {
+        RemainingNodes {
             balancers: base.balancers,
             active: base.services.iter().map(names).collect(),
             backend_counts: base.services.iter().map(|service| service.backends).collect(),
@@ -144,6 +146,7 @@
         self.active.iter_mut().for_each(|names| names.retain(|known| known != name));
     }
 
+    /// Draws an action and applies it to the remaining nodes.
     fn random_action(&mut self, base: &Scenario, random: &mut ChaCha8Rng) -> Action {
         let service = random.random_range(0..base.services.len());
         match random.random_range(0..8) {
--- a/crates/lab/src/flow_log.rs
+++ b/crates/lab/src/flow_log.rs
@@ -19,7 +19,7 @@
 /// The agents that accept new flows, valid until the next entry of [`FlowLog::members`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// Start of the validity.
+    /// The time from which this entry is valid.
     pub at: Duration,
     /// Per service, the numbers of the agents.
     pub services: Vec<Vec<u32>>,
--- a/crates/lab/src/policies.rs
+++ b/crates/lab/src/policies.rs
@@ -32,7 +32,7 @@
     /// balancers shared one flow table instantly.
     StaleChoices,
     /// The least loaded back end by exact current loads. Breaks no flow, as if all balancers shared
-    /// one flow table instantly: an ideal that no real balancer reaches.
+    /// one flow table instantly: the ideal that real balancers can only approach.
     AllKnowing,
 }
 
@@ -120,6 +120,7 @@
 ) -> Option<Duration> {
     let packets = flow.packets.max(1);
     let mut first_choice = None;
+    // The flow's entry in the flow table of each balancer that has seen it.
     let mut pinned: HashMap<usize, u32> = HashMap::new();
     for packet in 0..packets {
         let at = flow.opened + (flow.ended - flow.opened) * packet / packets;
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -124,6 +124,7 @@
     SocketAddrV4::new(Ipv4Addr::from(SERVICE_ADDRESS_BASE + index as u32 + 1), SERVICE_PORT)
 }
 
+/// Creates the services, back ends and balancers that exist at the start.
 fn set_up(world: &mut World, shared: &SharedState) -> Result<()> {
     let mut state = shared.borrow_mut();
     let services = state.scenario.services.clone();
@@ -147,6 +148,7 @@
     Ok(())
 }
 
+/// Schedules the plan's flows, the scenario's events and the sampling of loads.
 fn schedule_plan(world: &mut World, shared: &SharedState, plan: &Plan) {
     for flow in plan.flows.clone() {
         let cell = Rc::clone(shared);
--- a/crates/lab/tests/disagreement.rs
+++ b/crates/lab/tests/disagreement.rs
@@ -49,7 +49,7 @@
 /// The same scenario with the protection off: agents reset an unknown flow at once, and flows carry
 /// no cookie. It must break flows, or the test above would prove nothing.
 #[test]
-fn without_cookie_and_silence_the_same_scenario_breaks_flows() {
+fn without_cookies_and_unknown_grace_the_same_scenario_breaks_flows() {
     let settings =
         WorldSettings { cookies: false, unknown_grace: Duration::ZERO, ..WorldSettings::default() };
     let outcome = run(settings, &history(), false);
@@ -88,8 +88,8 @@
                 duplicates: 0.2,
             };
             let outcome = run_combination(network, &list, &held, timestamps);
-            // A new flow is refused when no node that its SYN reaches knows a back end that accepts
-            // flows. An established flow must send all of its requests and finish.
+            // A new flow is refused at once when no node that its SYN reaches knows a back end that
+            // accepts flows. An established flow must send all of its requests and finish.
             let refused_or_finished = outcome.flows_broken + outcome.flows_finished;
             assert_eq!(refused_or_finished, outcome.flows_opened, "{held:?}: {outcome:?}");
             let requests = outcome.flows_finished * u64::from(REQUESTS);
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -71,7 +71,7 @@
 /// Without flow cookies, and with agents that reset unknown flows at once, exploration must find
 /// broken flows.
 #[test]
-fn exploration_finds_a_missing_mechanism_and_shrinks_it() {
+fn exploration_finds_flows_broken_without_cookies_and_shrinks_the_timeline() {
     const MAX_SEEDS: u64 = 150;
     let mut base = read("explore.toml");
     base.cookies = false;
