--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -4,7 +4,7 @@
 use crate::lifecycle::Lifecycle;
 use crate::metrics::{self, PUBLISH_INTERVAL};
 use anyhow::Result;
-use loftdrift_balancer::{Balancer, HEADROOM_BYTES, Verdict};
+use loftdrift_balancer::{Action, Balancer, HEADROOM_BYTES};
 use loftdrift_configuration::{Configuration, ProcessEvent, ProcessState, balancer_chart};
 use loftdrift_counters::PublishedSet;
 use loftdrift_liveness::ProbeSettings;
@@ -131,18 +131,18 @@
             let end = HEADROOM_BYTES + length;
             let now = self.started.elapsed();
             match self.core.handle(now, from, &mut self.buffer, end) {
-                Verdict::Forward(forward) => {
+                Action::Forward(forward) => {
                     let datagram = &self.buffer[forward.start..forward.end];
                     if send(&self.socket, forward.to, datagram).await.is_err() {
                         self.core.counters.send_failures += 1;
                     }
                 }
-                Verdict::Reply(echo) => {
+                Action::Reply(echo) => {
                     if send(&self.socket, from, &echo.encode()).await.is_err() {
                         self.core.counters.send_failures += 1;
                     }
                 }
-                Verdict::Done => {}
+                Action::Done => {}
             }
         }
     }
--- a/crates/balancer/src/core.rs
+++ b/crates/balancer/src/core.rs
@@ -31,7 +31,7 @@
 
 /// What to do with a received datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Action {
     /// Forward it.
     Forward(Forward),
     /// Reply to the sender with this echo.
@@ -111,13 +111,13 @@
         from: SocketAddrV4,
         buffer: &mut [u8],
         end: usize,
-    ) -> Verdict {
+    ) -> Action {
         self.counters.received += 1;
         let packet = match GenevePacket::parse(&buffer[HEADROOM_BYTES..end]) {
             Ok(packet) => packet,
             Err(error) => {
                 self.counters.packets.count_geneve_error(error);
-                return Verdict::Done;
+                return Action::Done;
             }
         };
         if packet.control {
@@ -125,22 +125,22 @@
         }
         if packet.inner.len() > MAX_INNER_BYTES {
             self.counters.dropped_oversized += 1;
-            return Verdict::Done;
+            return Action::Done;
         }
         if packet.steering.is_some() {
             self.counters.packets.dropped_steering_option += 1;
-            return Verdict::Done;
+            return Action::Done;
         }
         let inner = match parse_inner(packet.inner) {
             Ok(inner) => inner,
             Err(error) => {
                 self.counters.packets.count_inner_error(error);
-                return Verdict::Done;
+                return Action::Done;
             }
         };
         let Some(service) = self.map.service(&inner.flow) else {
             self.counters.dropped_unknown_service += 1;
-            return Verdict::Done;
+            return Action::Done;
         };
         let option = match inner.kind {
             SegmentKind::Syn | SegmentKind::Datagram => service.new_flow_option(&inner.flow),
@@ -165,17 +165,17 @@
         end: usize,
         vni: u32,
         option: &SteeringOption,
-    ) -> Verdict {
+    ) -> Action {
         let Some(first) = option.current() else {
             self.counters.dropped_no_candidate += 1;
-            return Verdict::Done;
+            return Action::Done;
         };
         let Some(start) = write_header(&mut buffer[..inner_start], vni, Some(option)) else {
             self.counters.dropped_oversized += 1;
-            return Verdict::Done;
+            return Action::Done;
         };
         self.counters.forwarded += 1;
-        Verdict::Forward(Forward { to: first.agent, start, end })
+        Action::Forward(Forward { to: first.agent, start, end })
     }
 
     fn handle_control(
@@ -183,25 +183,25 @@
         now: Duration,
         from: SocketAddrV4,
         packet: &GenevePacket<'_>,
-    ) -> Verdict {
+    ) -> Action {
         self.counters.control_bytes += ECHO_BYTES as u64;
         match Echo::decode(packet) {
             Some(Echo { kind: EchoKind::Request, sequence }) => {
                 if self.draining || self.version() == Version::default() {
                     self.counters.echoes_unanswered += 1;
-                    return Verdict::Done;
+                    return Action::Done;
                 }
                 self.counters.echoes_answered += 1;
                 self.counters.control_bytes += ECHO_BYTES as u64;
-                Verdict::Reply(Echo { kind: EchoKind::Reply, sequence })
+                Action::Reply(Echo { kind: EchoKind::Reply, sequence })
             }
             Some(Echo { kind: EchoKind::Reply, .. }) => {
                 self.prober.on_reply(now, from);
-                Verdict::Done
+                Action::Done
             }
             None => {
                 self.counters.packets.dropped_control += 1;
-                Verdict::Done
+                Action::Done
             }
         }
     }
--- a/crates/balancer/src/lib.rs
+++ b/crates/balancer/src/lib.rs
@@ -7,5 +7,5 @@
 mod core;
 mod counters;
 
-pub use crate::core::{Balancer, Forward, HEADROOM_BYTES, MAX_INNER_BYTES, Verdict};
+pub use crate::core::{Action, Balancer, Forward, HEADROOM_BYTES, MAX_INNER_BYTES};
 pub use crate::counters::BalancerCounters;
--- a/crates/balancer/tests/allocations.rs
+++ b/crates/balancer/tests/allocations.rs
@@ -1,7 +1,7 @@
 //! Guards against memory allocation on the forwarding path.
 
 use etherparse::PacketBuilder;
-use loftdrift_balancer::{Balancer, HEADROOM_BYTES, Verdict};
+use loftdrift_balancer::{Action, Balancer, HEADROOM_BYTES};
 use loftdrift_configuration::{Configuration, apply, parse_script};
 use loftdrift_liveness::ProbeSettings;
 use loftdrift_wire::encode_packet;
@@ -46,8 +46,8 @@
         let datagram = &datagrams[number % 2];
         let end = HEADROOM_BYTES + datagram.len();
         buffer[HEADROOM_BYTES..end].copy_from_slice(datagram);
-        let verdict = balancer.handle(Duration::ZERO, from, &mut buffer, end);
-        assert!(matches!(verdict, Verdict::Forward(_)));
+        let action = balancer.handle(Duration::ZERO, from, &mut buffer, end);
+        assert!(matches!(action, Action::Forward(_)));
     }
     assert_eq!(region.change().allocations, 0);
 }
--- a/crates/balancer/tests/bad_input.rs
+++ b/crates/balancer/tests/bad_input.rs
@@ -1,7 +1,7 @@
 //! Every kind of invalid datagram is dropped and counted by its own counter.
 
 use etherparse::PacketBuilder;
-use loftdrift_balancer::{Balancer, BalancerCounters, HEADROOM_BYTES, MAX_INNER_BYTES, Verdict};
+use loftdrift_balancer::{Action, Balancer, BalancerCounters, HEADROOM_BYTES, MAX_INNER_BYTES};
 use loftdrift_configuration::{Configuration, apply, parse_script};
 use loftdrift_liveness::ProbeSettings;
 use loftdrift_testkit::check_fixed_seeds;
@@ -32,7 +32,7 @@
     balancer
 }
 
-fn handle(balancer: &mut Balancer, datagram: &[u8]) -> (Verdict, Vec<u8>) {
+fn handle(balancer: &mut Balancer, datagram: &[u8]) -> (Action, Vec<u8>) {
     let mut buffer = vec![0; HEADROOM_BYTES];
     buffer.extend_from_slice(datagram);
     let end = buffer.len();
@@ -54,7 +54,7 @@
 fn assert_dropped(datagram: &[u8], counter: fn(&BalancerCounters) -> u64) {
     let mut balancer = balancer();
     let before = balancer.counters;
-    assert_eq!(handle(&mut balancer, datagram).0, Verdict::Done);
+    assert_eq!(handle(&mut balancer, datagram).0, Action::Done);
     let after = balancer.counters;
     assert_eq!(counter(&after), counter(&before) + 1, "{after:?}");
     assert_eq!(after.forwarded, before.forwarded);
@@ -64,8 +64,8 @@
 fn a_good_packet_goes_to_the_agent_with_its_service() {
     let mut balancer = balancer();
     let packet = tiles_syn();
-    let (verdict, buffer) = handle(&mut balancer, &encode_packet(0, None, &packet));
-    let Verdict::Forward(forward) = verdict else { panic!("{verdict:?}") };
+    let (action, buffer) = handle(&mut balancer, &encode_packet(0, None, &packet));
+    let Action::Forward(forward) = action else { panic!("{action:?}") };
     assert_eq!(forward.to, "10.2.0.1:6081".parse().expect("valid address"));
     let sent = GenevePacket::parse(&buffer[forward.start..forward.end]).expect("valid packet");
     assert_eq!((sent.vni, sent.inner), (1, packet.as_slice()));
@@ -109,19 +109,19 @@
     optional[0] = 1;
     optional.extend_from_slice(&[0, 1, 0x05, 0]);
     optional.extend_from_slice(&good[8..]);
-    let (verdict, _) = handle(&mut balancer(), &optional);
-    assert!(matches!(verdict, Verdict::Forward(_)), "{verdict:?}");
+    let (action, _) = handle(&mut balancer(), &optional);
+    assert!(matches!(action, Action::Forward(_)), "{action:?}");
 }
 
 #[test]
 fn a_draining_balancer_answers_no_echo_and_still_forwards() {
     let mut balancer = balancer();
     let echo = Echo { kind: EchoKind::Request, sequence: 9 }.encode();
-    assert!(matches!(handle(&mut balancer, &echo).0, Verdict::Reply(_)));
+    assert!(matches!(handle(&mut balancer, &echo).0, Action::Reply(_)));
     balancer.start_draining();
-    assert_eq!(handle(&mut balancer, &echo).0, Verdict::Done);
+    assert_eq!(handle(&mut balancer, &echo).0, Action::Done);
     let packet = encode_packet(0, None, &tiles_syn());
-    assert!(matches!(handle(&mut balancer, &packet).0, Verdict::Forward(_)));
+    assert!(matches!(handle(&mut balancer, &packet).0, Action::Forward(_)));
 }
 
 #[test]
--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -1,7 +1,7 @@
 //! Benchmarks the balancer's decision per packet against a plain hash table and array, and for
 //! different numbers of open flows.
 
-use loftdrift_balancer::{Balancer, HEADROOM_BYTES, Verdict};
+use loftdrift_balancer::{Action, Balancer, HEADROOM_BYTES};
 use loftdrift_bench::{
     BACKENDS, SERVICES, alternating_medians, configuration, nanoseconds_per_item, segment,
     service_address,
@@ -114,8 +114,8 @@
         for datagram in &datagrams {
             let end = HEADROOM_BYTES + datagram.len();
             buffer[HEADROOM_BYTES..end].copy_from_slice(datagram);
-            let verdict = balancer.handle(Duration::ZERO, fabric, &mut buffer, end);
-            forwarded += usize::from(matches!(verdict, Verdict::Forward(_)));
+            let action = balancer.handle(Duration::ZERO, fabric, &mut buffer, end);
+            forwarded += usize::from(matches!(action, Action::Forward(_)));
         }
     };
     let (time, _) = alternating_medians(&mut work, || {});
--- a/crates/carried/src/agent/cluster_state.rs
+++ b/crates/carried/src/agent/cluster_state.rs
@@ -5,7 +5,7 @@
 impl<F: SegmentFormat> CarriedAgent<F> {
     /// The snapshot of members and configuration that this node serves to other nodes.
     pub fn snapshot(&self) -> Snapshot {
-        self.standing.snapshot(|_| true)
+        self.cluster.snapshot(|_| true)
     }
 
     /// Adds what another node's snapshot contains.
@@ -18,14 +18,14 @@
 
     /// Adds nodes that other nodes or the shared store have named.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, crate::NodeRole)]) {
-        self.standing.learn(now, members);
+        self.cluster.learn(now, members);
     }
 
     /// Merges a configuration into the one in force, unless the version in force covers it already;
     /// `true` when this changes the content.
     pub fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration) -> bool {
         let was_evacuated = self.is_evacuated();
-        match self.standing.adopt(now, configuration) {
+        match self.cluster.adopt(now, configuration) {
             Adoption::Outdated => self.counters.configurations_passed_over += 1,
             Adoption::Confirmed => {}
             Adoption::Changed => {
@@ -46,7 +46,7 @@
         if !answers {
             return;
         }
-        self.standing.store.note_confirmed(now);
+        self.cluster.store.note_confirmed(now);
         if let Some(balancer) = asked {
             // The heartbeat carries the configuration version; the balancer fetches the
             // configuration from this agent if it is newer than its own.
--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -15,7 +15,7 @@
             }
             let (from, to) = (format!("{before:?}"), format!("{after:?}"));
             log::info!(backend = cause, from = from.as_str(), to = to.as_str(), waiting = self.in_flight; "backend_changed");
-            self.standing.membership.spread_news(now);
+            self.cluster.membership.spread_news(now);
         }
     }
 
@@ -46,7 +46,7 @@
 
     /// Whether the zone of this agent is evacuated, as far as this agent knows.
     pub(super) fn is_evacuated(&self) -> bool {
-        self.standing.is_evacuated(&self.settings.node.zone)
+        self.cluster.is_evacuated(&self.settings.node.zone)
     }
 
     pub(super) fn is_cold(&self, now: Duration) -> bool {
@@ -56,7 +56,7 @@
     /// How many new flows the back end may still be given now; `None` when it is warm or no limit
     /// for cold back ends is configured.
     pub(super) fn cold_allowance(&self, now: Duration) -> Option<usize> {
-        let service = self.standing.configuration.service(self.backend.service())?;
+        let service = self.cluster.configuration.service(self.backend.service())?;
         let may_be_cold = self.is_cold(now) || !self.backend.has_reported();
         if service.cold_flows_milli == 0 || !may_be_cold {
             return None;
@@ -68,7 +68,7 @@
     }
 
     /// How completely this agent knows the flows of its back end.
-    fn flow_memory(&self, now: Duration) -> FlowKnowledge {
+    fn flow_knowledge(&self, now: Duration) -> FlowKnowledge {
         match self.may_miss_flows && now < self.settings.max_flow_age {
             false => FlowKnowledge::Complete,
             true if self.seems_started_together => FlowKnowledge::PresumedComplete,
@@ -92,7 +92,7 @@
                 .cold_allowance(now)
                 .map(|room| room.min(usize::from(u16::MAX)) as u16),
             backend_age_ms: backend_started_at.map(|at| message_ms(now.saturating_sub(at))),
-            flow_knowledge: self.flow_memory(now),
+            flow_knowledge: self.flow_knowledge(now),
             uptime_ms: is_young.then(|| message_ms(now)),
         }
     }
--- a/crates/carried/src/agent/lookups.rs
+++ b/crates/carried/src/agent/lookups.rs
@@ -12,7 +12,7 @@
 use crate::message::{FlowAnswer, FlowQuery, FlowStatus};
 
 /// A live back end has sent a heartbeat by this time after its agent's start. Until then an agent
-/// that has received none answers lookups of unknown flows with [`Word::Early`].
+/// that has received none answers lookups of unknown flows with [`FlowStatus::NotReady`].
 const FIRST_REPORT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 impl<F: SegmentFormat> CarriedAgent<F> {
@@ -21,15 +21,14 @@
         &mut self,
         now: Duration,
         from: SocketAddrV4,
-        questions: &[FlowQuery],
+        queries: &[FlowQuery],
     ) {
-        self.counters.lookups_received += questions.len() as u64;
-        let mut answer = |question: &FlowQuery| {
-            let status =
-                self.lookup_answer(now, from, &question.flow.into(), question.acknowledged);
-            FlowAnswer { flow: question.flow, status }
+        self.counters.lookups_received += queries.len() as u64;
+        let mut answer = |query: &FlowQuery| {
+            let status = self.lookup_answer(now, from, &query.flow.into(), query.acknowledged);
+            FlowAnswer { flow: query.flow, status }
         };
-        let answers = questions.iter().map(&mut answer).collect();
+        let answers = queries.iter().map(&mut answer).collect();
         self.outputs.push_back(Output::ToPeer {
             to: from,
             message: Message::LookupReply { uptime_ms: message_ms(now), answers },
@@ -65,7 +64,7 @@
         if is_early { FlowStatus::NotReady } else { FlowStatus::Unknown }
     }
 
-    /// Passes a trial packet to the back end if this agent cannot tell whether the back end holds
+    /// Passes a trial packet to the back end if this agent does not know whether the back end holds
     /// the flow; otherwise answers at once.
     pub(super) fn handle_trial(&mut self, now: Duration, from: SocketAddrV4, datagram: Vec<u8>) {
         let Ok(segment) = self.format.parse(&datagram) else {
@@ -82,8 +81,8 @@
             return self.deliver(now, from, datagram);
         }
         let acknowledged = segment.ack.then_some(segment.acknowledgement);
-        let word = self.lookup_answer(now, from, &flow, acknowledged);
-        self.send_lookup_answer(now, from, flow, word);
+        let status = self.lookup_answer(now, from, &flow, acknowledged);
+        self.send_lookup_answer(now, from, flow, status);
     }
 
     pub(super) fn send_lookup_answer(
--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -83,7 +83,7 @@
 /// once.
 const MAX_ABSENT_FLOWS: usize = 2_048;
 
-/// Settings of an agent of carried flows.
+/// Settings of an agent for carried flows.
 #[derive(Clone, Debug)]
 pub struct CarriedAgentSettings {
     /// The agent's own address, zone and other properties as a node.
@@ -104,7 +104,7 @@
 pub struct CarriedAgent<F = PlainFormat> {
     settings: CarriedAgentSettings,
     format: F,
-    standing: ClusterState,
+    cluster: ClusterState,
     backend: Backend,
     /// The sender of the last heartbeat that named another service.
     last_foreign_sender: Option<String>,
@@ -153,7 +153,7 @@
     /// Creates an agent that knows nothing but its settings.
     pub fn new(settings: CarriedAgentSettings, format: F) -> Self {
         CarriedAgent {
-            standing: ClusterState::new(settings.node.clone()),
+            cluster: ClusterState::new(settings.node.clone()),
             backend: Backend::new(settings.service.clone()),
             last_foreign_sender: None,
             may_miss_flows: !settings.is_first_start,
@@ -195,17 +195,17 @@
 
     /// The nodes that this agent knows.
     pub fn membership(&self) -> &Membership {
-        &self.standing.membership
+        &self.cluster.membership
     }
 
     /// Version of the configuration in force.
     pub fn configuration_version(&self) -> Version {
-        self.standing.configuration.version
+        self.cluster.configuration.version
     }
 
     /// Path of the health check of the back end's service; `None` until a configuration defines it.
     pub fn health_path(&self) -> Option<&str> {
-        let service = self.standing.configuration.service(self.backend.service())?;
+        let service = self.cluster.configuration.service(self.backend.service())?;
         Some(&service.health_path)
     }
 
@@ -219,7 +219,7 @@
         self.stopping = true;
         self.decline_all_waiting(now, DeclineReason::NotAccepting);
         self.probe_urgently(now);
-        self.standing.membership.spread_news(now);
+        self.cluster.membership.spread_news(now);
         log::info!(waiting = self.in_flight; "draining");
     }
 
@@ -227,7 +227,7 @@
     pub fn resume(&mut self, now: Duration) {
         self.ignore_offers_until = now + STALE_OFFER_WINDOW;
         self.counters.standstills += 1;
-        self.standing.membership.spread_news(now);
+        self.cluster.membership.spread_news(now);
         log::warn!(waiting = self.in_flight; "resumed_after_standstill");
     }
 
@@ -259,7 +259,7 @@
             }
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
             Some(Message::Heartbeat(heartbeat)) => {
-                let (is_new, fetch) = self.standing.on_heartbeat(now, from, &heartbeat);
+                let (is_new, fetch) = self.cluster.on_heartbeat(now, from, &heartbeat);
                 self.outputs.extend(fetch);
                 if is_new {
                     self.send_heartbeat(now, from, false);
@@ -274,9 +274,9 @@
     pub fn next_timeout(&self) -> Option<Duration> {
         let due = [
             self.flows.next_wake_up(),
-            self.standing.membership.next_due(),
+            self.cluster.membership.next_due(),
             self.next_condition_change(),
-            self.standing.next_retention_end(),
+            self.cluster.next_retention_end(),
             self.next_probe(),
             self.wait_queue.next_expiry(),
         ];
@@ -294,13 +294,13 @@
             self.announce_condition_change(now, "rested");
         }
         let was_evacuated = self.is_evacuated();
-        if self.standing.expire_evacuations(now) {
+        if self.cluster.expire_evacuations(now) {
             self.may_be_cold |= was_evacuated;
             self.announce_condition_change(now, "evacuation_lapsed");
         }
         self.probe_if_due(now);
         self.serve_wait_queue(now);
-        for (peer, wants_reply) in self.standing.membership.take_due(now) {
+        for (peer, wants_reply) in self.cluster.membership.take_due(now) {
             self.send_heartbeat(now, peer, wants_reply);
         }
     }
@@ -316,12 +316,12 @@
             flows: self.flows.active_flows() as u64,
             waiting: u64::from(self.in_flight),
             in_line: self.wait_queue.len() as u64,
-            peers: self.standing.membership.len() as u64,
-            configuration_version: self.standing.configuration.version.number,
-            configuration_newest_heard: self.standing.newest_reported().number,
-            configuration_revision: self.standing.configuration.version.position.revision,
-            store_era: self.standing.newest_reported().position.era,
-            configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
+            peers: self.cluster.membership.len() as u64,
+            configuration_version: self.cluster.configuration.version.number,
+            configuration_newest_heard: self.cluster.newest_reported().number,
+            configuration_revision: self.cluster.configuration.version.position.revision,
+            store_era: self.cluster.newest_reported().position.era,
+            configuration_age_seconds: self.cluster.configuration_age(now).as_secs(),
             work_microseconds: u64::from(self.work_meter.mean_us()),
             ..self.counters
         }
@@ -329,6 +329,6 @@
 
     fn send_heartbeat(&mut self, now: Duration, to: SocketAddrV4, wants_reply: bool) {
         let report = Some(self.report(now));
-        self.outputs.push_back(self.standing.heartbeat(now, to, wants_reply, report));
+        self.outputs.push_back(self.cluster.heartbeat(now, to, wants_reply, report));
     }
 }
--- a/crates/carried/src/agent/offers.rs
+++ b/crates/carried/src/agent/offers.rs
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Tells a balancer that the back end has the flow of its offer.
+    /// Notifies a balancer that the back end has the flow of its offer.
     pub(super) fn send_placed(&mut self, now: Duration, to: SocketAddrV4, number: u64) {
         let message = Message::Placed { number, report: self.report(now) };
         self.outputs.push_back(Output::ToPeer { to, message });
--- a/crates/carried/src/agent/phases.rs
+++ b/crates/carried/src/agent/phases.rs
@@ -40,7 +40,7 @@
     }
 
     pub(super) fn idle_timeout(&self) -> Duration {
-        self.standing.idle_timeout(self.settings.max_flow_age)
+        self.cluster.idle_timeout(self.settings.max_flow_age)
     }
 
     /// Updates the number of requests in work when a flow's change of phase begins or ends one.
--- a/crates/carried/src/agent/reports.rs
+++ b/crates/carried/src/agent/reports.rs
@@ -13,7 +13,7 @@
 /// sequence number up to this ...
 const MAX_EARLY_SEQUENCE: u64 = 3;
 /// ... arrives within this time after the process's start. A back end that was running before sends
-/// a heartbeat about every second, so about one in seven of those is heard this early too;
+/// a heartbeat about every second, so about one in seven of those arrives this early too;
 /// the agent only presumes the restart.
 const EARLY_REPORT_WINDOW: Duration = Duration::from_millis(150);
 
--- a/crates/carried/src/agent/wait_queue.rs
+++ b/crates/carried/src/agent/wait_queue.rs
@@ -26,7 +26,7 @@
 const PRIORITY_STEP: Duration = Duration::from_millis(60);
 /// Routes that are less urgent than this many steps are treated alike.
 const MAX_PRIORITY_STEPS: u8 = 4;
-/// Time that a request keeps a slot, assumed until one was measured.
+/// Time that a request keeps a slot, assumed until one has been measured.
 const ASSUMED_REQUEST_TIME: Duration = Duration::from_millis(50);
 /// Maximum number of flows that wait at one agent; bounds memory, since each keeps its SYN.
 const MAX_WAITING_FLOWS: usize = 512;
@@ -36,7 +36,7 @@
 /// How long a flow may wait: the 1.4 s of its caller's attempt, less the network round trip.
 const MAX_WAIT: Duration = Duration::from_millis(1_300);
 /// Attempts that a caller makes. While the service rate is unknown, the queue holds as many flows
-/// as are served within all of them, since a flow that waits in vain during one attempt may wait
+/// as are served within all of them, since a flow that gets no slot during one attempt may wait
 /// again during the next. A queue sized for one attempt fails more requests after a service comes
 /// back: callers that are declined at once soon use up all three.
 const ATTEMPTS_PER_CALLER: f64 = 3.0;
@@ -171,7 +171,7 @@
 /// The limit serves two load patterns. When a service comes back after 1.5 s, 4,400 callers wait
 /// for it, 1,700 arrive per second and 2,800 per second are served; the queue's rate is unknown
 /// then and may be all of the back end's. In a lasting overload, new flows that can be answered in
-/// time take nearly all slots: few flows are served from the queue, so only few may wait in vain.
+/// time take nearly all slots: few flows are served from the queue, so only few may wait.
 pub(super) fn max_waiting(capacity: u16, work: Duration, rate: Option<f64>) -> usize {
     let full_rate = f64::from(capacity.max(1)) / work.max(Duration::from_millis(1)).as_secs_f64();
     let rate = rate.map_or(full_rate * ATTEMPTS_PER_CALLER, |rate| rate.min(full_rate));
--- a/crates/carried/src/backend.rs
+++ b/crates/carried/src/backend.rs
@@ -17,9 +17,9 @@
 /// Minimum time between two heartbeats that confirm an unconfirmed start. A live start sends a
 /// heartbeat about once per second, whereas heartbeats delayed on the network arrive in one burst.
 const MIN_REPEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Heartbeats are delayed by a few seconds at most. If a start with an earlier birth time is
+/// Heartbeats are delayed by a few seconds at most. If a start with an earlier start time is
 /// received for longer than this while the current one is silent, it is the live one: the clock
-/// that its birth time comes from was set back.
+/// that its start time comes from was set back.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_secs(5);
 
 /// A heartbeat sent by the back end itself.
@@ -73,7 +73,7 @@
     current: Option<CurrentStart>,
     /// A start under another id, received since the last heartbeat of the current one.
     unconfirmed: Option<UnconfirmedStart>,
-    /// A start under the current id with an earlier birth time that keeps sending heartbeats.
+    /// A start under the current id with an earlier start time that keeps sending heartbeats.
     backdated: Option<UnconfirmedStart>,
     /// The health check at the agent's start found the back end healthy.
     is_healthy_at_start: bool,
@@ -168,7 +168,7 @@
         self.replace_current(now, report)
     }
 
-    /// Handles a heartbeat with the current start's id and an earlier birth time.
+    /// Handles a heartbeat with the current start's id and an earlier start time.
     fn take_backdated(&mut self, now: Duration, report: &BackendReport) -> ReportOutcome {
         let received_at =
             self.current.as_ref().map_or(Duration::ZERO, |current| current.received_at);
@@ -228,7 +228,7 @@
         });
     }
 
-    /// Handles a notice that a start is leaving or gone. A notice without a birth time is taken to
+    /// Handles a notice that a start is leaving or gone. A notice without a start time is taken to
     /// mean the current start of that id: a back end that may be leaving must get no new flows.
     pub(crate) fn take_departure(&mut self, gone: &Incarnation) {
         if self.unconfirmed.as_ref().is_some_and(|unconfirmed| unconfirmed.incarnation == *gone) {
@@ -279,7 +279,7 @@
 /// Whether a heartbeat comes from a start that has sent a departure notice, or from an earlier one.
 fn belongs_to_departed(report: &BackendReport, gone: &Incarnation) -> bool {
     match (report.incarnation.compare(gone), gone.started_at_ms) {
-        // The notice did not say which start it meant. Only a start that is sending its first
+        // The notice did not name a start time. Only a start that is sending its first
         // heartbeats can have begun after the notice.
         (StartOrder::Later, None) => report.sequence > MAX_INITIAL_SEQUENCE,
         (StartOrder::Later | StartOrder::OtherId, _) => false,
--- a/crates/carried/src/balancer/admission_pause.rs
+++ b/crates/carried/src/balancer/admission_pause.rs
@@ -13,7 +13,7 @@
 /// stall: outdated reports of peers, and SYNs whose callers have gone and that would occupy slots.
 const MIN_PAUSE: Duration = Duration::from_millis(20);
 /// Maximum number of peers that are asked for a heartbeat when the process resumes.
-const MAX_PEERS_ASKED: usize = 8;
+const MAX_HEARTBEAT_REQUESTS: usize = 8;
 
 /// Whether and until when new flows are not admitted.
 #[derive(Debug, Default)]
@@ -49,11 +49,11 @@
         }
         self.absence_evidence.note_stall(now);
         self.counters.standstills += 1;
-        log::warn!(configuration:% = self.standing.configuration.version; "resumed_after_standstill");
+        log::warn!(configuration:% = self.cluster.configuration.version; "resumed_after_standstill");
         let peers: Vec<SocketAddrV4> =
-            self.standing.membership.peers().map(|(address, _)| *address).collect();
+            self.cluster.membership.peers().map(|(address, _)| *address).collect();
         let first = self.random.random_range(0..peers.len().max(1));
-        for peer in peers.iter().cycle().skip(first).take(MAX_PEERS_ASKED.min(peers.len())) {
+        for peer in peers.iter().cycle().skip(first).take(MAX_HEARTBEAT_REQUESTS.min(peers.len())) {
             self.send_heartbeat(now, *peer, true);
         }
     }
@@ -61,7 +61,7 @@
     /// Ends the pause if a peer's configuration is not newer than the one in force here: then
     /// no change was missed during the stall.
     pub(super) fn note_peer_version(&mut self, now: Duration, configuration: Version) {
-        if self.standing.configuration.version.covers(&configuration) {
+        if self.cluster.configuration.version.covers(&configuration) {
             self.admission_pause.end(now);
         }
     }
--- a/crates/carried/src/balancer/audit.rs
+++ b/crates/carried/src/balancer/audit.rs
@@ -1,10 +1,10 @@
 //! Audits the shared store's list of nodes against the nodes that are alive.
 //!
 //! Entries in the store have no lease: renewing a lease for each would cost 64 calls a second at
-//! 3,860 nodes, and all renewals would come at once when the store returns from an outage. Instead,
-//! the balancers that watch the store compare its list with the nodes whose heartbeats they
-//! receive. A live node whose entry is missing is notified and writes the entry again; the entry of
-//! a node that has been silent for long is removed.
+//! 3,860 nodes, and all renewals would come at once when the store recovers from an outage.
+//! Instead, the balancers that watch the store compare its list with the nodes whose heartbeats
+//! they receive. A live node whose entry is missing is notified and writes the entry again; the
+//! entry of a node that has been silent for long is removed.
 //!
 //! Invariants:
 //! - An entry is removed only after this process has run for [`DEAD_TIMEOUT`] without receiving
@@ -23,8 +23,8 @@
 /// Shortest audit interval, as a share of the mean. The longest one exceeds the mean by as much as
 /// the shortest one falls below it.
 const MIN_INTERVAL_SHARE: f64 = 0.75;
-/// Time over which the auditors spread their audits after the store has returned from an outage.
-const RETURN_SPREAD: Duration = Duration::from_millis(300);
+/// Time over which the auditors spread their audits after the store has recovered from an outage.
+const RECOVERY_SPREAD: Duration = Duration::from_millis(300);
 /// Minimum time since a node joined before its absence from a list that may be seconds old counts.
 /// Absence from the newest list counts at once: a store that was restored from an older copy has
 /// lost the entries of just the nodes that joined last.
@@ -60,10 +60,10 @@
 pub(super) struct Audit {
     next: Option<Duration>,
     /// Number of store outages known to have ended, at the last check.
-    returns: u32,
+    recoveries: u32,
     /// Era of the store at the last check; 0 while none is known.
     era: u64,
-    /// Whether the next audit needs the newest list, because the store has just returned.
+    /// Whether the next audit needs the newest list, because the store has just recovered.
     is_urgent: bool,
     /// Number of audits scheduled so far.
     planned: u64,
@@ -74,29 +74,29 @@
         self.next
     }
 
-    /// Whether, since the last check, the store has returned from an outage or was restored from an
-    /// older copy: then entries may be lost even if nobody noticed an outage.
-    fn note_returns(&mut self, returns: u32, era: u64) -> bool {
-        let has_returned = std::mem::replace(&mut self.returns, returns) != returns;
+    /// Whether, since the last check, the store has recovered from an outage or was restored from an
+    /// older copy: then entries may be lost even if no node noticed an outage.
+    fn note_recoveries(&mut self, recoveries: u32, era: u64) -> bool {
+        let has_recovered = std::mem::replace(&mut self.recoveries, recoveries) != recoveries;
         let before = std::mem::replace(&mut self.era, era);
-        has_returned || (before > 0 && before != era)
+        has_recovered || (before > 0 && before != era)
     }
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
     /// Requests the list when an audit is due. Only balancers that watch the store are auditors.
     pub(super) fn audit_when_due(&mut self, now: Duration, is_auditor: bool) {
-        let has_returned = self.audit.note_returns(
-            self.standing.store.recoveries(),
-            self.standing.configuration.version.position.era,
+        let has_recovered = self.audit.note_recoveries(
+            self.cluster.store.recoveries(),
+            self.cluster.configuration.version.position.era,
         );
         if !is_auditor {
             self.audit.next = None;
             return;
         }
-        if has_returned {
+        if has_recovered {
             self.audit.is_urgent = true;
-            self.audit.next = Some(now + RETURN_SPREAD.mul_f64(self.jitter_fraction()));
+            self.audit.next = Some(now + RECOVERY_SPREAD.mul_f64(self.jitter_fraction()));
         } else if self.audit.next.is_none() {
             self.audit.next = Some(self.next_audit(now));
         }
@@ -117,7 +117,7 @@
     /// do not read the store at the same moment.
     fn jitter_fraction(&mut self) -> f64 {
         self.audit.planned += 1;
-        let me = self.standing.membership.me().address;
+        let me = self.cluster.membership.me().address;
         stable_hash(&me, &me, self.audit.planned) as f64 / u64::MAX as f64
     }
 
@@ -126,14 +126,14 @@
     pub fn audit_members(&mut self, now: Duration, list: &NodeList) -> Vec<SocketAddrV4> {
         let listed = &list.nodes;
         let members: Vec<_> = listed.iter().map(|node| (node.address, node.role)).collect();
-        self.standing.learn(now, &members);
+        self.cluster.learn(now, &members);
         let has_entry: HashSet<SocketAddrV4> = listed.iter().map(|node| node.address).collect();
-        let me = self.standing.membership.me().address;
+        let me = self.cluster.membership.me().address;
         if !has_entry.contains(&me) {
             self.outputs.push_back(Output::WriteEntry);
         }
-        let alive_timeout = self.standing.membership.interval() * ALIVE_INTERVALS;
-        let peers = self.standing.membership.peers();
+        let alive_timeout = self.cluster.membership.interval() * ALIVE_INTERVALS;
+        let peers = self.cluster.membership.peers();
         let is_missing = |address: &SocketAddrV4, peer: &Peer| {
             let is_alive =
                 peer.last_heartbeat_at.is_some_and(|at| now.saturating_sub(at) <= alive_timeout);
@@ -156,10 +156,10 @@
     }
 
     fn is_dead(&self, now: Duration, address: &SocketAddrV4) -> bool {
-        let last_heard = self.standing.membership.last_heard_at(address).unwrap_or(now);
+        let last_contact = self.cluster.membership.last_contact_at(address).unwrap_or(now);
         let departed_timeout =
-            (self.standing.membership.interval() * ALIVE_INTERVALS).max(DEPARTED_TIMEOUT);
+            (self.cluster.membership.interval() * ALIVE_INTERVALS).max(DEPARTED_TIMEOUT);
         let timeout = if self.has_departed(address) { departed_timeout } else { DEAD_TIMEOUT };
-        now.saturating_sub(last_heard) >= timeout
+        now.saturating_sub(last_contact) >= timeout
     }
 }
--- a/crates/carried/src/balancer/system_state.rs
+++ b/crates/carried/src/balancer/cluster_state.rs
@@ -7,12 +7,12 @@
     pub fn snapshot(&self) -> Snapshot {
         let has_ended =
             |agent: &SocketAddrV4| self.pool.view(agent).is_some_and(AgentView::backend_ended);
-        self.standing.snapshot(|address| !has_ended(address))
+        self.cluster.snapshot(|address| !has_ended(address))
     }
 
     /// Merges the members and the configuration of another node's snapshot.
     pub fn take_snapshot(&mut self, now: Duration, snapshot: Snapshot) {
-        self.standing.learn(now, &snapshot.members);
+        self.cluster.learn(now, &snapshot.members);
         if let Some(configuration) = snapshot.configuration {
             self.adopt(now, configuration);
         }
@@ -20,19 +20,19 @@
 
     /// Adds members reported by other nodes; the list may be incomplete.
     pub fn add_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
-        self.standing.learn(now, members);
+        self.cluster.learn(now, members);
     }
 
     /// Adds the members of the shared store's complete list.
     pub fn learn_members(&mut self, now: Duration, members: &[(SocketAddrV4, NodeRole)]) {
         self.absence_evidence.note_member_list();
-        self.standing.learn(now, members);
+        self.cluster.learn(now, members);
     }
 
     /// Puts a configuration in force as far as it is newer than the current one. Returns `true` if
     /// the content in force has changed.
     pub fn adopt(&mut self, now: Duration, configuration: CarriedConfiguration) -> bool {
-        match self.standing.adopt(now, configuration) {
+        match self.cluster.adopt(now, configuration) {
             Adoption::Outdated => {
                 self.counters.configurations_passed_over += 1;
                 return false;
@@ -43,12 +43,12 @@
             }
             Adoption::Changed => {}
         }
-        self.routes.replace(&self.standing.configuration);
-        self.pool.evacuate(&self.standing.evacuated());
+        self.routes.replace(&self.cluster.configuration);
+        self.pool.evacuate(&self.cluster.evacuated());
         self.admission_pause.end(now);
         self.counters.configurations_adopted += 1;
         self.unrouted.note_routes(now);
-        self.standing.membership.spread_news(now);
+        self.cluster.membership.spread_news(now);
         true
     }
 }
--- a/crates/carried/src/balancer/delegated_reads.rs
+++ b/crates/carried/src/balancer/delegated_reads.rs
@@ -59,12 +59,12 @@
         let fresh = self.store_watch.bound().mul_f64(FRESH_SHARE);
         if self.unconfirmed_for(now) < fresh {
             let spread = MAX_JITTER.mul_f64(self.random.random_range(0.0..1.0));
-            self.delegated_reads.next = Some(self.standing.store.confirmed_at() + fresh + spread);
+            self.delegated_reads.next = Some(self.cluster.store.confirmed_at() + fresh + spread);
             return;
         }
         let jitter = self.random.random_range(0.75..1.25);
         self.delegated_reads.next = Some(now + REQUEST_INTERVAL.mul_f64(jitter));
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         let alive = self.pool.iter().filter(|(_, view)| !view.is_suspect(now, interval));
         let agents: Vec<SocketAddrV4> = alive.map(|(agent, _)| *agent).collect();
         if agents.is_empty() {
--- a/crates/carried/src/balancer/established.rs
+++ b/crates/carried/src/balancer/established.rs
@@ -8,12 +8,14 @@
         if let Some(number) = self.pending_flows.number_of(&flow) {
             // The caller has sent data: some agent has placed the flow, though its answer has not
             // arrived.
-            let asked =
-                self.pending_flows.finish(number).map(|pending| self.describe_asked(now, &pending));
+            let offers = self
+                .pending_flows
+                .finish(number)
+                .map(|pending| self.describe_offers(now, &pending));
             self.counters.openings_overtaken += 1;
             log::info!(
-                flow = flow_name(&flow).as_str(), asked = asked.unwrap_or_default().as_str(),
-                configuration:% = self.standing.configuration.version; "opening_overtaken"
+                flow = flow_name(&flow).as_str(), asked = offers.unwrap_or_default().as_str(),
+                configuration:% = self.cluster.configuration.version; "opening_overtaken"
             );
         }
         let idle = self.idle_timeout();
@@ -35,7 +37,7 @@
         self.outputs.push_back(Output::ToPeer { to, message });
     }
 
-    pub(super) fn handle_not_held(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
+    pub(super) fn handle_not_owned(&mut self, now: Duration, from: SocketAddrV4, datagram: &[u8]) {
         self.counters.packets_not_held += 1;
         let Ok(segment) = self.format.parse(datagram) else {
             self.counters.packets_malformed += 1;
--- a/crates/carried/src/balancer/flow_absence.rs
+++ b/crates/carried/src/balancer/flow_absence.rs
@@ -1,11 +1,11 @@
 //! Decides whether no agent owns a flow.
 //!
 //! Invariant: an agent is ruled out as the owner of a flow only by its own answer, by an unanswered
-//! question after its departure notice, or when it has answered nobody for longer than restarts,
+//! query after its departure notice, or when it has answered no node for longer than restarts,
 //! freezes and network partitions last. A restart or loss of power of the whole system, back ends
 //! included, ends all earlier flows as well.
 
-use super::lookup_order::MAX_ASKED;
+use super::lookup_order::MAX_AGENTS_ASKED;
 use super::*;
 use crate::lookup::{ANSWER_TIMEOUT, AgentAnswer, Lookup};
 use crate::message::{BackendCondition, FlowKnowledge};
@@ -14,25 +14,26 @@
 /// Silence after which an agent is presumed gone, and its flows ended. It is longer than planned
 /// restarts, freezes and network partitions last: flows owned by a partitioned agent are still
 /// open.
-const GONE_TIMEOUT: Duration = Duration::from_secs(15);
+const AGENT_GONE_TIMEOUT: Duration = Duration::from_secs(15);
 /// Minimum number of heartbeats that an agent that is presumed gone has missed.
 const MIN_GONE_INTERVALS: u32 = 4;
 /// Time after its start in which a balancer that could not read the list of nodes has learned of
 /// all of them from peers.
 const DISCOVERY_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum time by which back ends start earlier than this process if the whole system restarts at
-/// once. Flows opened in between may be owned by agents that were not heard since.
+/// once. Flows opened in between may be owned by agents that have sent nothing since.
 const RESTART_SPREAD: Duration = Duration::from_millis(800);
-/// Maximum time after the start of both until a balancer that is not partitioned hears an agent.
+/// Maximum time after the start of both until a balancer that is not partitioned has
+/// received a message from an agent.
 const MAX_PROMPT_DELAY: Duration = Duration::from_millis(200);
 /// Minimum number of agents that must have restarted with their back ends before a restart of the
 /// whole system is assumed.
-const MIN_RESTARTED: usize = 2;
-/// Time after the start of this process by which all live agents have been heard, if the whole
-/// system has restarted.
-const RESTART_GRACE: Duration = Duration::from_millis(300);
+const MIN_RESTARTED_AGENTS: usize = 2;
+/// Time after the start of this process by which it has received a message from every live agent,
+/// if the whole system has restarted.
+const RESTART_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Minimum number of agents that must presume a loss of power before it is assumed.
-const MIN_PRESUMED: usize = 3;
+const MIN_PRESUMING_AGENTS: usize = 3;
 /// Time between two checks for a loss of power, per known agent.
 const POWER_CHECK_INTERVAL_PER_AGENT: Duration = Duration::from_micros(100);
 /// Maximum time between the starts of processes that have lost power together.
@@ -77,10 +78,10 @@
 }
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// Whether every known agent is ruled out as the owner of a flow, or is unsure about it.
-    pub(super) fn all_ruled_out_or_unsure(&self, now: Duration, lookup: &Lookup) -> bool {
+    /// Whether every known agent is ruled out as the owner of a flow, or does not know.
+    pub(super) fn all_ruled_out_or_unknown(&self, now: Duration, lookup: &Lookup) -> bool {
         let is_ruled_out = |agent: &SocketAddrV4| match self.known_answer(lookup, agent) {
-            Some(AgentAnswer::Unsure | AgentAnswer::Tried(_)) => true,
+            Some(AgentAnswer::Unknown | AgentAnswer::Tried(_)) => true,
             _ => self.is_ruled_out(now, lookup, agent),
         };
         self.known_agents().all(|agent| is_ruled_out(&agent))
@@ -105,19 +106,19 @@
         let Some(middle) = starts.get(starts.len() / 2).copied() else { return };
         let together = starts.iter().filter(|at| at.between(middle) <= JOINT_START_WINDOW).count();
         let with_backend = || self.pool.iter().filter(|(_, view)| view.has_backend());
-        let heard = with_backend().count();
-        let presumed =
-            with_backend().filter(|(_, view)| view.memory() == FlowKnowledge::PresumedComplete);
+        let reported = with_backend().count();
+        let presumed = with_backend()
+            .filter(|(_, view)| view.flow_knowledge() == FlowKnowledge::PresumedComplete);
         let presumed = presumed.count();
         let is_joint = 20 * together >= 19 * self.pool.len();
         let all_lost_power = self.policies.is_enabled(Policy::PowerLoss)
             && is_joint
-            && presumed >= MIN_PRESUMED
-            && 2 * presumed >= heard;
+            && presumed >= MIN_PRESUMING_AGENTS
+            && 2 * presumed >= reported;
         let restarted_at = all_lost_power.then_some(middle);
         let before = std::mem::replace(&mut self.absence_evidence.restarted_at, restarted_at);
         if before.is_some() != all_lost_power {
-            log::info!(all_lost_power, presumed, heard, together; "power_loss_presumed");
+            log::info!(all_lost_power, presumed, heard = reported, together; "power_loss_presumed");
         }
     }
 
@@ -125,7 +126,7 @@
     /// may be reset.
     pub(super) fn no_agent_owns(&self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
-        let is_asked_enough = lookup.has_absent_answer() && self.pool.len() <= MAX_ASKED;
+        let is_asked_enough = lookup.has_absent_answer() && self.pool.len() <= MAX_AGENTS_ASKED;
         self.policies.is_enabled(Policy::ResetUnowned)
             && lookup.expects_answer()
             && is_asked_enough
@@ -153,14 +154,14 @@
         }
     }
 
-    /// Time in which a live agent answers a question and this process, if delayed, reads the
+    /// Time in which a live agent answers a query and this process, if delayed, reads the
     /// answer.
     pub(super) fn answer_timeout(&self, now: Duration) -> Duration {
         self.scheduling_delay.extend_timeout(now, ANSWER_TIMEOUT)
     }
 
-    /// Whether an agent lost power with the whole system and, by its last report, had not heard
-    /// from a back end since: its machine may have been removed from service meanwhile.
+    /// Whether an agent lost power with the whole system and, by its last report, had received
+    /// nothing from a back end since: its machine may have been removed from service meanwhile.
     fn never_had_backend(&self, agent: &SocketAddrV4) -> bool {
         self.pool.view(agent).is_some_and(|view| {
             let is_unknown = view.report.condition == BackendCondition::Unknown;
@@ -169,38 +170,39 @@
     }
 
     /// Whether an agent's last report was its departure notice, that its back end has ended. The
-    /// report may be old, so an agent that answers a question is believed instead.
+    /// report may be old, so an agent that answers a query is believed instead.
     pub(super) fn has_departed(&self, agent: &SocketAddrV4) -> bool {
         self.pool.view(agent).is_some_and(AgentView::backend_ended)
     }
 
     /// Every agent that this balancer knows of, directly or through other nodes.
     pub(super) fn known_agents(&self) -> impl Iterator<Item = SocketAddrV4> {
-        let peers = self.standing.membership.peers();
+        let peers = self.cluster.membership.peers();
         let agents = peers.filter(|(_, peer)| peer.role == NodeRole::Agent);
         agents.map(|(address, _)| *address)
     }
 
-    /// Whether an agent is presumed gone and owns no flow any more: it has answered nobody for so
-    /// long that it will not return, or the whole system has restarted and it was not heard since.
+    /// Whether an agent is presumed gone and owns no flow any more: it has answered no node for so
+    /// long that it will not return, or the whole system has restarted and it has sent nothing since.
     pub(super) fn is_gone(&self, now: Duration, agent: &SocketAddrV4) -> bool {
         let view = self.pool.view(agent);
         // A delayed process may not have read yet what live agents have sent.
-        let grace = self.scheduling_delay.extend_timeout(now, RESTART_GRACE);
+        let grace = self.scheduling_delay.extend_timeout(now, RESTART_DISCOVERY_TIMEOUT);
         if view.is_none() && now >= grace && self.has_system_restarted(now) {
             return true;
         }
         let since = self.absence_evidence.observing_since;
-        let asked_in_vain = self.pool.view(agent).and_then(|view| view.unresponsive_since());
-        let in_vain = asked_in_vain.map(|asked_at| now.saturating_sub(asked_at.max(since)));
-        let last_heard = match self.pool.view(agent) {
+        let unresponsive_since = self.pool.view(agent).and_then(|view| view.unresponsive_since());
+        let unanswered_for =
+            unresponsive_since.map(|asked_at| now.saturating_sub(asked_at.max(since)));
+        let last_contact = match self.pool.view(agent) {
             Some(view) => view.reported_at(),
-            None => self.standing.membership.last_heard_at(agent).unwrap_or(now),
+            None => self.cluster.membership.last_contact_at(agent).unwrap_or(now),
         };
-        let silence = now.saturating_sub(last_heard.max(since));
-        let interval = self.standing.membership.interval();
-        silence >= GONE_TIMEOUT.max(interval * MIN_GONE_INTERVALS)
-            || in_vain.is_some_and(|in_vain| in_vain >= GONE_TIMEOUT)
+        let silence = now.saturating_sub(last_contact.max(since));
+        let interval = self.cluster.membership.interval();
+        silence >= AGENT_GONE_TIMEOUT.max(interval * MIN_GONE_INTERVALS)
+            || unanswered_for.is_some_and(|unanswered_for| unanswered_for >= AGENT_GONE_TIMEOUT)
     }
 
     /// Whether the whole system, back ends included, started at about the same time as this
@@ -208,13 +210,13 @@
     /// since.
     pub(super) fn has_system_restarted(&self, now: Duration) -> bool {
         let views = || self.pool.iter().map(|(_, view)| view).filter(|view| view.has_backend());
-        let heard = views().count();
+        let reported = views().count();
         let is_prompt = |view: &&AgentView| view.was_discovered_within(MAX_PROMPT_DELAY);
         let prompt = views().filter(is_prompt).count();
         let lost_power = |view: &AgentView| self.absence_evidence.lost_power(view.started_at());
         views().all(|view| view.backend_started_after(now, RESTART_SPREAD) || lost_power(view))
-            && heard >= MIN_RESTARTED
-            && 2 * prompt >= heard
-            && 2 * heard >= self.known_agents().count()
+            && reported >= MIN_RESTARTED_AGENTS
+            && 2 * prompt >= reported
+            && 2 * reported >= self.known_agents().count()
     }
 }
--- a/crates/carried/src/balancer/lookup_limiter.rs
+++ b/crates/carried/src/balancer/lookup_limiter.rs
@@ -35,7 +35,7 @@
 /// Time after which an unfinished lookup no longer counts as active: it waits for agents that do
 /// not answer, which costs little, so another lookup may start.
 const ACTIVE_TIMEOUT: Duration = Duration::from_millis(150);
-/// Time between two rounds that start waiting lookups, so that their questions share messages.
+/// Time between two rounds that start waiting lookups, so that their queries share messages.
 const START_INTERVAL: Duration = Duration::from_millis(4);
 
 /// The lookups that wait, and the window of those that may be active.
--- a/crates/carried/src/balancer/lookup_order.rs
+++ b/crates/carried/src/balancer/lookup_order.rs
@@ -7,9 +7,9 @@
 use crate::pool::SAMPLE_SIZE;
 use crate::rank::Ranking;
 
-/// Maximum number of agents asked about one flow. In a system with more agents no caller is told
-/// that its flow has ended: asking them all would cost more than letting the caller wait.
-pub(super) const MAX_ASKED: usize = 512;
+/// Maximum number of agents asked about one flow. In a system with more agents no caller is
+/// notified that its flow has ended: asking them all would cost more than letting the caller wait.
+pub(super) const MAX_AGENTS_ASKED: usize = 512;
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
     /// The agents to ask next: first those of the services that the address is or was routed to,
@@ -17,10 +17,11 @@
     pub(super) fn next_batch(&self, now: Duration, number: u64) -> Vec<SocketAddrV4> {
         let Some(lookup) = self.lookups.get(number) else { return Vec::new() };
         let asked = lookup.answers().count();
-        let most = (INITIAL_BATCH << lookup.batches.min(8)).min(MAX_ASKED.saturating_sub(asked));
+        let most =
+            (INITIAL_BATCH << lookup.batches.min(8)).min(MAX_AGENTS_ASKED.saturating_sub(asked));
         let address = lookup.segment.flow().service;
-        let holders = self.routes.candidate_services(&address);
-        let agents = holders.flat_map(|service| self.pool.of_service(service));
+        let services = self.routes.candidate_services(&address);
+        let agents = services.flat_map(|service| self.pool.of_service(service));
         let batch = self.first_unanswered(now, lookup, agents.map(|(agent, _)| *agent), most);
         if !batch.is_empty() {
             return batch;
@@ -29,7 +30,7 @@
     }
 
     /// What an agent has answered about a flow, or would answer: one that may have lost flow
-    /// records is unsure.
+    /// records does not know.
     pub(super) fn known_answer(
         &self,
         lookup: &Lookup,
@@ -37,13 +38,13 @@
     ) -> Option<AgentAnswer> {
         lookup
             .answer(agent)
-            .or_else(|| self.may_have_forgotten(agent).then_some(AgentAnswer::Unsure))
+            .or_else(|| self.may_have_forgotten(agent).then_some(AgentAnswer::Unknown))
     }
 
     /// Whether an agent's back end may have flows that the agent has no record of.
     fn may_have_forgotten(&self, agent: &SocketAddrV4) -> bool {
         let Some(view) = self.pool.view(agent) else { return false };
-        view.memory() != FlowKnowledge::Complete
+        view.flow_knowledge() != FlowKnowledge::Complete
             && !self.absence_evidence.lost_power(view.started_at())
     }
 
@@ -63,19 +64,19 @@
     /// Agents that may have lost their record of a flow and may receive its packets, the likeliest
     /// owners first: those of the services that the address is or was routed to, if any, else all
     /// others.
-    pub(super) fn unsure_agents(&self, lookup: &Lookup) -> Vec<SocketAddrV4> {
+    pub(super) fn trial_candidates(&self, lookup: &Lookup) -> Vec<SocketAddrV4> {
         let flow = lookup.segment.flow();
-        let is_unsure = |agent: &SocketAddrV4| {
-            self.known_answer(lookup, agent) == Some(AgentAnswer::Unsure)
+        let is_candidate = |agent: &SocketAddrV4| {
+            self.known_answer(lookup, agent) == Some(AgentAnswer::Unknown)
                 && self.is_region_allowed(&flow, agent)
         };
-        let holders = self.routes.candidate_services(&flow.service);
-        let of_holders = holders.flat_map(|service| self.pool.of_service(service));
-        let likely: Vec<_> = of_holders.map(|(agent, _)| *agent).filter(is_unsure).collect();
+        let services = self.routes.candidate_services(&flow.service);
+        let of_services = services.flat_map(|service| self.pool.of_service(service));
+        let likely: Vec<_> = of_services.map(|(agent, _)| *agent).filter(is_candidate).collect();
         if !likely.is_empty() {
             return self.sort_by_likelihood(&flow, likely.into_iter());
         }
-        self.sort_by_likelihood(&flow, self.known_agents().filter(is_unsure))
+        self.sort_by_likelihood(&flow, self.known_agents().filter(is_candidate))
     }
 
     /// Sorts agents by how likely they own a flow: first those with which balancers of this zone
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -5,7 +5,7 @@
 //! - A packet whose owner is not known is given to a back end only if no agent that could be asked
 //!   owns its flow, and then only to back ends of agents that may have lost their record of it.
 //! - A caller is reset only when every known agent has answered that it does not own the flow, or
-//!   has sent a departure notice and does not answer, or has answered nobody for very long. While
+//!   has sent a departure notice and does not answer, or has answered no node for very long. While
 //!   any of them may own the flow, or while there may be agents that this balancer does not know
 //!   yet, the caller waits.
 
@@ -23,7 +23,7 @@
 /// shortest latency targets are about 100 ms.
 const SLOW_LOOKUP_THRESHOLD: Duration = Duration::from_millis(300);
 /// Maximum number of agents named in such a log line.
-const MAX_DESCRIBED: usize = 4;
+const MAX_DESCRIBED_AGENTS: usize = 4;
 /// Time for which a caller that was reset is remembered.
 const RESET_TTL: Duration = Duration::from_secs(3);
 /// Minimum time after which a caller that retransmits its packet is reset again.
@@ -140,7 +140,7 @@
         if !batch.is_empty() {
             return self.ask_agents(now, number, batch);
         }
-        if self.try_unsure_agents(now, number) {
+        if self.send_trial_packets(now, number) {
             return;
         }
         if self.no_agent_owns(now, number) {
@@ -154,19 +154,19 @@
     fn ask_agents(&mut self, now: Duration, number: u64, agents: Vec<SocketAddrV4>) {
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         lookup.batches += 1;
-        let question = question_for(lookup);
+        let query = query_for(lookup);
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
             lookup.note_answer(to, AgentAnswer::Asked(now));
-            self.question_batches.add(now, to, question);
+            self.query_batches.add(now, to, query);
         }
         self.lookups.wake_at(number, now + ANSWER_TIMEOUT);
     }
 
-    /// Sends the batched questions, if a batch is due.
-    pub(super) fn send_questions(&mut self, now: Duration) {
-        for (to, questions) in self.question_batches.take_due(now) {
-            for part in questions.chunks(MAX_FLOWS_PER_MESSAGE) {
+    /// Sends the batched queries, if a batch is due.
+    pub(super) fn send_queries(&mut self, now: Duration) {
+        for (to, queries) in self.query_batches.take_due(now) {
+            for part in queries.chunks(MAX_FLOWS_PER_MESSAGE) {
                 let message = Message::Lookup { queries: part.to_vec() };
                 self.outputs.push_back(Output::ToPeer { to, message });
             }
@@ -176,26 +176,26 @@
     /// Sends a packet on trial to back ends whose agents may have lost their record of the flow,
     /// the likeliest owners first. Returns `false` if there are none or no further trial is
     /// allowed.
-    fn try_unsure_agents(&mut self, now: Duration, number: u64) -> bool {
+    fn send_trial_packets(&mut self, now: Duration, number: u64) -> bool {
         let Some(lookup) = self.lookups.get(number) else { return false };
         let Some(datagram) = lookup.trial_packet(now).cloned() else { return false };
-        let most = match self.all_ruled_out_or_unsure(now, lookup) {
+        let most = match self.all_ruled_out_or_unknown(now, lookup) {
             true => INITIAL_TRIALS << lookup.trial_rounds.min(MAX_TRIAL_DOUBLINGS),
             false => MAX_TRIALS.saturating_sub(lookup.trials),
         };
-        let mut unsure = self.unsure_agents(lookup);
-        unsure.truncate(most);
-        if unsure.is_empty() {
+        let mut candidates = self.trial_candidates(lookup);
+        candidates.truncate(most);
+        if candidates.is_empty() {
             return false;
         }
         let Some(lookup) = self.lookups.get_mut(number) else { return false };
         lookup.trial_rounds += 1;
-        lookup.trials += unsure.len();
-        self.counters.lookup_trials += unsure.len() as u64;
+        lookup.trials += candidates.len();
+        self.counters.lookup_trials += candidates.len() as u64;
         log::debug!(
-            flow = flow_name(&lookup.segment.flow()).as_str(), agents = unsure.len(); "flow_tried"
+            flow = flow_name(&lookup.segment.flow()).as_str(), agents = candidates.len(); "flow_tried"
         );
-        for to in unsure {
+        for to in candidates {
             lookup.note_answer(to, AgentAnswer::Tried(now));
             let message = Message::TryForward { datagram: datagram.clone() };
             self.outputs.push_back(Output::ToPeer { to, message });
@@ -224,7 +224,7 @@
         log::warn!(
             flow = flow_name(&segment.flow()).as_str(), reason = "nobody_holds",
             age_ms = age.as_millis() as u64, said = self.describe_answers(now, lookup).as_str(),
-            configuration:% = self.standing.configuration.version; "flow_reset"
+            configuration:% = self.cluster.configuration.version; "flow_reset"
         );
         let datagram = self.format.reset(&segment);
         self.outputs.push_back(Output::ToCaller { host: *segment.source.ip(), datagram });
@@ -234,7 +234,7 @@
     /// Describes the agents' answers for the log: the number of denials and the age of the oldest
     /// one, and each agent that is presumed gone.
     fn describe_answers(&self, now: Duration, lookup: &Lookup) -> String {
-        let absent = lookup.answers().filter_map(|(_, said)| match said {
+        let absent = lookup.answers().filter_map(|(_, answer)| match answer {
             AgentAnswer::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
             _ => None,
         });
@@ -248,7 +248,7 @@
     }
 
     /// Handles an agent's answer that it owns a flow.
-    pub(super) fn handle_held(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
+    pub(super) fn handle_owned(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
         if !self.pool.note_alive(&from) {
             self.counters.answers_unexpected += 1;
             return;
@@ -266,28 +266,29 @@
     }
 
     /// Handles an agent's answers about flows.
-    pub(super) fn handle_found(
+    pub(super) fn handle_lookup_reply(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
-        up_ms: u32,
-        words: &[FlowAnswer],
+        uptime_ms: u32,
+        answers: &[FlowAnswer],
     ) {
-        let lost_power = self.absence_evidence.lost_power(Some(StartTime::from_uptime(now, up_ms)));
+        let lost_power =
+            self.absence_evidence.lost_power(Some(StartTime::from_uptime(now, uptime_ms)));
         self.pool.note_alive(&from);
-        for FlowAnswer { flow, status } in words {
+        for FlowAnswer { flow, status } in answers {
             match status {
-                FlowStatus::Owned => self.handle_held(now, from, (*flow).into()),
+                FlowStatus::Owned => self.handle_owned(now, from, (*flow).into()),
                 FlowStatus::Absent => {
-                    self.handle_not_owned(now, from, (*flow).into(), AgentAnswer::Absent(now))
+                    self.note_lookup_answer(now, from, (*flow).into(), AgentAnswer::Absent(now))
                 }
                 // The agent has a record of every flow placed since the loss of power, and flows
                 // from before it have ended with their back ends.
                 FlowStatus::Unknown if lost_power => {
-                    self.handle_not_owned(now, from, (*flow).into(), AgentAnswer::Absent(now));
+                    self.note_lookup_answer(now, from, (*flow).into(), AgentAnswer::Absent(now));
                 }
                 FlowStatus::Unknown => {
-                    self.handle_not_owned(now, from, (*flow).into(), AgentAnswer::Unsure)
+                    self.note_lookup_answer(now, from, (*flow).into(), AgentAnswer::Unknown)
                 }
                 // It has not received its back end's first report yet and is asked again soon.
                 FlowStatus::NotReady => {}
@@ -296,12 +297,12 @@
     }
 
     /// Handles an agent's answer that it does not own a flow, or has no record of it.
-    fn handle_not_owned(
+    fn note_lookup_answer(
         &mut self,
         now: Duration,
         from: SocketAddrV4,
         flow: FlowKey,
-        said: AgentAnswer,
+        answer: AgentAnswer,
     ) {
         let number = self.lookups.number_of(&flow);
         let lookup = number.and_then(|number| Some((number, self.lookups.get_mut(number)?)));
@@ -312,13 +313,13 @@
         };
         // The agent was sent a packet on trial; the result is still to come.
         let is_tried = matches!(lookup.answer(&from), Some(AgentAnswer::Tried(_)));
-        if !(is_tried && said == AgentAnswer::Unsure) {
-            lookup.note_answer(from, said);
+        if !(is_tried && answer == AgentAnswer::Unknown) {
+            lookup.note_answer(from, answer);
         }
         self.advance_lookup(now, number);
     }
 
-    /// Handles an agent's report that it has told the caller that its flow has ended.
+    /// Handles an agent's report that it has notified the caller of the end of its flow.
     pub(super) fn handle_ended(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey) {
         if !self.pool.note_alive(&from) {
             self.counters.answers_unexpected += 1;
@@ -364,30 +365,30 @@
     }
 
     /// Describes the first agents that may still own the flow, with the last answer of each and the
-    /// time since it was heard.
+    /// age of its last report.
     fn describe_blocking(&self, now: Duration, lookup: &Lookup) -> String {
-        let holding_up = self.known_agents().filter(|agent| !self.is_ruled_out(now, lookup, agent));
+        let blocking = self.known_agents().filter(|agent| !self.is_ruled_out(now, lookup, agent));
         let describe = |agent: SocketAddrV4| {
-            let word = match self.known_answer(lookup, &agent) {
+            let answer = match self.known_answer(lookup, &agent) {
                 None => "not_asked",
                 Some(AgentAnswer::Asked(_)) => "silent",
-                Some(AgentAnswer::Unsure) => "unsure",
+                Some(AgentAnswer::Unknown) => "unsure",
                 Some(AgentAnswer::Tried(_)) => "tried",
                 Some(AgentAnswer::Absent(_)) => "absent",
             };
-            let heard = self.pool.view(&agent).map(|view| view.age(now).as_millis().to_string());
-            format!("{}:{word}:{}ms", agent.ip(), heard.unwrap_or_else(|| "never".to_owned()))
+            let age = self.pool.view(&agent).map(|view| view.age(now).as_millis().to_string());
+            format!("{}:{answer}:{}ms", agent.ip(), age.unwrap_or_else(|| "never".to_owned()))
         };
-        holding_up.take(MAX_DESCRIBED).map(describe).collect::<Vec<_>>().join(",")
+        blocking.take(MAX_DESCRIBED_AGENTS).map(describe).collect::<Vec<_>>().join(",")
     }
 
-    /// Repeats the question to agents whose answer is missing or left the ownership open.
+    /// Repeats the query to agents whose answer is missing or left the ownership open.
     fn ask_again(&mut self, now: Duration, number: u64) {
         self.log_slow_lookup(now, number);
         let Some(lookup) = self.lookups.get_mut(number) else { return };
         lookup.note_retry(now);
         let agents = lookup.unresolved(now);
-        let question = question_for(lookup);
+        let query = query_for(lookup);
         let silent =
             if self.scheduling_delay.is_delayed(now) { Vec::new() } else { lookup.unanswered() };
         for (agent, asked_at) in silent {
@@ -395,13 +396,13 @@
         }
         self.counters.lookup_questions += agents.len() as u64;
         for to in agents {
-            self.question_batches.add(now, to, question);
+            self.query_batches.add(now, to, query);
         }
     }
 }
 
-/// The question whether an agent owns the flow of a lookup.
-fn question_for(lookup: &Lookup) -> FlowQuery {
+/// The query whether an agent owns the flow of a lookup.
+fn query_for(lookup: &Lookup) -> FlowQuery {
     let Segment { ack, acknowledgement, .. } = lookup.segment;
     let acknowledged = ack.then_some(acknowledgement);
     FlowQuery { flow: lookup.segment.flow().into(), acknowledged }
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -12,6 +12,7 @@
 
 mod admission_pause;
 mod audit;
+mod cluster_state;
 mod delegated_reads;
 mod established;
 mod flow_absence;
@@ -19,11 +20,10 @@
 mod lookup_order;
 mod lookups;
 mod pending_flows;
-mod question_batches;
+mod query_batches;
 mod refusals;
 mod scheduling_delay;
 mod store_watch;
-mod system_state;
 mod unrouted;
 
 use self::admission_pause::AdmissionPause;
@@ -32,7 +32,7 @@
 use self::delegated_reads::DelegatedReads;
 use self::flow_absence::AbsenceEvidence;
 use self::lookup_limiter::LookupLimiter;
-use self::question_batches::QuestionBatches;
+use self::query_batches::QueryBatches;
 use self::refusals::Refusal;
 use self::scheduling_delay::SchedulingDelay;
 use self::store_watch::StoreWatch;
@@ -75,7 +75,7 @@
 const MAX_QUEUE_OFFERS: usize = 4;
 /// Additional time in which the agent's message that a flow has left its wait queue without a slot
 /// arrives here.
-const WAIT_QUEUE_GRACE: Duration = Duration::from_millis(40);
+const WAIT_QUEUE_REPLY_MARGIN: Duration = Duration::from_millis(40);
 /// Share of the latency target for which a flow is retried while no agent can be offered it.
 const RETRY_SHARE: f64 = 0.2;
 /// Share of the latency target within which an agent may still queue a request. The rest is left
@@ -86,7 +86,7 @@
 /// Idle time after which a flow is forgotten, until a configuration sets it.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Settings of a balancer of carried flows.
+/// Settings of a balancer for carried flows.
 #[derive(Clone, Debug)]
 pub struct CarriedBalancerSettings {
     /// The balancer itself.
@@ -102,7 +102,7 @@
 /// The state of one balancer.
 pub struct CarriedBalancer<F = PlainFormat> {
     format: F,
-    standing: ClusterState,
+    cluster: ClusterState,
     routes: RoutingTable,
     pool: Pool,
     policies: Policies,
@@ -111,7 +111,7 @@
     /// New flows that arrived before any configuration was known.
     unrouted: UnroutedFlows,
     lookups: FlowTable<Lookup>,
-    question_batches: QuestionBatches,
+    query_batches: QueryBatches,
     lookup_limiter: LookupLimiter,
     absence_evidence: AbsenceEvidence,
     delegated_reads: DelegatedReads,
@@ -134,8 +134,8 @@
         let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
         CarriedBalancer {
             format,
-            lookup_limiter: LookupLimiter::new(settings.policies.is_enabled(Policy::RepairBudget)),
-            standing: ClusterState::new(settings.node),
+            lookup_limiter: LookupLimiter::new(settings.policies.is_enabled(Policy::LookupLimiter)),
+            cluster: ClusterState::new(settings.node),
             routes: RoutingTable::default(),
             pool: Pool::new(settings.policies),
             policies: settings.policies,
@@ -143,7 +143,7 @@
             unrouted: UnroutedFlows::default(),
             pending_flows: PendingFlows::new(random.random()),
             lookups: FlowTable::new(random.random()),
-            question_batches: QuestionBatches::default(),
+            query_batches: QueryBatches::default(),
             absence_evidence: AbsenceEvidence::default(),
             delegated_reads: DelegatedReads::default(),
             audit: Audit::default(),
@@ -166,17 +166,17 @@
 
     /// The known nodes.
     pub fn membership(&self) -> &Membership {
-        &self.standing.membership
+        &self.cluster.membership
     }
 
     /// Version of the configuration in force.
     pub fn configuration_version(&self) -> Version {
-        self.standing.configuration.version
+        self.cluster.configuration.version
     }
 
     /// Whether callers' packets should be routed to this balancer.
     pub fn is_ready(&self, now: Duration) -> bool {
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         !self.draining && !self.routes.is_empty() && self.pool.any_accepting(now, interval)
     }
 
@@ -187,7 +187,7 @@
     }
 
     fn idle_timeout(&self) -> Duration {
-        self.standing.idle_timeout(DEFAULT_IDLE_TIMEOUT)
+        self.cluster.idle_timeout(DEFAULT_IDLE_TIMEOUT)
     }
 
     /// Sets how long the callers' datagrams that are handled next may have waited in a socket
@@ -219,10 +219,10 @@
                 self.handle_queued(now, from, number, report);
             }
             Some(Message::LookupReply { uptime_ms, answers }) => {
-                self.handle_found(now, from, uptime_ms, &answers)
+                self.handle_lookup_reply(now, from, uptime_ms, &answers)
             }
             Some(Message::Ended { flow }) => self.handle_ended(now, from, flow.into()),
-            Some(Message::NotOwned { datagram }) => self.handle_not_held(now, from, &datagram),
+            Some(Message::NotOwned { datagram }) => self.handle_not_owned(now, from, &datagram),
             Some(Message::NotListed) => self.outputs.push_back(Output::WriteEntry),
             Some(Message::Heartbeat(heartbeat)) => self.handle_heartbeat(now, from, heartbeat),
             _ => self.counters.messages_malformed += 1,
@@ -230,10 +230,10 @@
     }
 
     fn handle_heartbeat(&mut self, now: Duration, from: SocketAddrV4, heartbeat: Heartbeat) {
-        let (is_new, fetch) = self.standing.on_heartbeat(now, from, &heartbeat);
+        let (is_new, fetch) = self.cluster.on_heartbeat(now, from, &heartbeat);
         self.outputs.extend(fetch);
         self.note_peer_version(now, heartbeat.configuration);
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         if let Some(view) = self.pool.view(&from).filter(|view| view.is_suspect(now, interval)) {
             log::info!(agent:% = from, away_ms = view.age(now).as_millis() as u64; "agent_back");
         }
@@ -249,7 +249,7 @@
     }
 
     fn distance(&self, zone: &str, region: &str) -> Distance {
-        let me = self.standing.membership.me();
+        let me = self.cluster.membership.me();
         match (zone == me.zone, region == me.region) {
             (true, _) => Distance::SameZone,
             (false, true) => Distance::OtherZone,
@@ -258,7 +258,7 @@
     }
 
     fn send_heartbeat(&mut self, now: Duration, to: SocketAddrV4, wants_reply: bool) {
-        self.outputs.push_back(self.standing.heartbeat(now, to, wants_reply, None));
+        self.outputs.push_back(self.cluster.heartbeat(now, to, wants_reply, None));
     }
 
     /// When [`CarriedBalancer::handle_timeout`] must be called next.
@@ -266,13 +266,13 @@
         let due = [
             self.pending_flows.next_wake_up(),
             self.lookups.next_wake_up(),
-            self.question_batches.next_send(),
+            self.query_batches.next_send(),
             self.lookup_limiter.next_start(),
             self.unrouted.next_due(),
-            self.standing.membership.next_due(),
+            self.cluster.membership.next_due(),
             self.delegated_reads.next(),
             self.audit.next(),
-            self.standing.next_retention_end(),
+            self.cluster.next_retention_end(),
             Some(self.next_store_action()),
         ];
         due.into_iter().flatten().min()
@@ -288,13 +288,13 @@
         while let Some(number) = self.lookups.pop_due(now) {
             self.wake_lookup(now, number);
         }
-        if self.standing.expire_evacuations(now) {
-            self.pool.evacuate(&self.standing.evacuated());
+        if self.cluster.expire_evacuations(now) {
+            self.pool.evacuate(&self.cluster.evacuated());
         }
         self.open_unrouted(now);
         self.start_lookups(now);
-        self.send_questions(now);
-        for (peer, wants_reply) in self.standing.membership.take_due(now) {
+        self.send_queries(now);
+        for (peer, wants_reply) in self.cluster.membership.take_due(now) {
             self.send_heartbeat(now, peer, wants_reply);
         }
         self.request_delegated_read(now);
@@ -316,8 +316,8 @@
 
     /// Removes agents that are no longer members.
     fn forget_agents(&mut self) {
-        if self.pool.len() > self.standing.membership.len() {
-            let membership = &self.standing.membership;
+        if self.pool.len() > self.cluster.membership.len() {
+            let membership = &self.cluster.membership;
             self.pool.retain(|agent| membership.knows(agent));
         }
     }
@@ -330,20 +330,20 @@
     /// The counters, with gauges as of `now`.
     pub fn counters(&self, now: Duration) -> CarriedBalancerCounters {
         CarriedBalancerCounters {
-            configuration_version: self.standing.configuration.version.number,
-            configuration_newest_heard: self.standing.newest_reported().number,
-            configuration_revision: self.standing.configuration.version.position.revision,
-            store_era: self.standing.newest_reported().position.era,
-            configuration_age_seconds: self.standing.configuration_age(now).as_secs(),
+            configuration_version: self.cluster.configuration.version.number,
+            configuration_newest_heard: self.cluster.newest_reported().number,
+            configuration_revision: self.cluster.configuration.version.position.revision,
+            store_era: self.cluster.newest_reported().position.era,
+            configuration_age_seconds: self.cluster.configuration_age(now).as_secs(),
             flows: self.flows.len() as u64,
             agents: self.pool.len() as u64,
             lateness_milliseconds: self.scheduling_delay.current(now).as_millis() as u64,
             lookups_waiting: self.lookup_limiter.waiting() as u64,
             lookup_window: self.lookup_limiter.window(),
-            agents_suspect: self.pool.suspects(now, self.standing.membership.interval()) as u64,
+            agents_suspect: self.pool.suspects(now, self.cluster.membership.interval()) as u64,
             store_unconfirmed_milliseconds: self.unconfirmed_for(now).as_millis() as u64,
             waits_at_store: u64::from(self.watches_store(now)),
-            peers: self.standing.membership.len() as u64,
+            peers: self.cluster.membership.len() as u64,
             ..self.counters
         }
     }
--- a/crates/carried/src/balancer/pending_flows.rs
+++ b/crates/carried/src/balancer/pending_flows.rs
@@ -22,14 +22,14 @@
             self.counters.openings_stale += 1;
             return;
         }
-        let came_at = now.saturating_sub(self.input_age);
+        let arrived_at = now.saturating_sub(self.input_age);
         let flow = segment.flow();
         if let Some(number) = self.lookups.number_of(&flow) {
             // The caller has reused its port: the flow that was looked up has ended.
             self.finish_lookup(now, number);
         }
         if let Some(number) = self.pending_flows.number_of(&flow) {
-            self.pending_flows.note_retransmission(came_at, number, segment.acknowledgement);
+            self.pending_flows.note_retransmission(arrived_at, number, segment.acknowledgement);
             return self.check_queued_agent(now, number);
         }
         if let Some(agent) = self.flows.agent(&flow) {
@@ -39,24 +39,24 @@
             self.flows.remove(&flow, agent);
         }
         let datagram = datagram.to_vec();
-        let opened = ReceivedSyn {
+        let syn = ReceivedSyn {
             segment: *segment,
             datagram,
-            arrived_at: came_at,
+            arrived_at,
             received_at: now,
-            first_arrived_at: came_at,
+            first_arrived_at: arrived_at,
         };
-        self.open_flow(now, opened);
+        self.open_flow(now, syn);
     }
 
     /// Starts to offer a new flow to agents.
-    pub(super) fn open_flow(&mut self, now: Duration, opened: ReceivedSyn) {
-        let segment = opened.segment;
+    pub(super) fn open_flow(&mut self, now: Duration, syn: ReceivedSyn) {
+        let segment = syn.segment;
         let address = segment.flow().service;
         let Some(route) = self.routes.route(&address) else {
             self.counters.packets_without_route += 1;
             match self.routes.is_empty() {
-                true => self.unrouted.keep(opened),
+                true => self.unrouted.keep(syn),
                 false => self.refuse(now, &segment, Refusal::NoRoute, None),
             }
             return;
@@ -74,14 +74,14 @@
         };
         self.counters.openings_started += 1;
         let wanted = Requirements { service, regions, aim, priority };
-        let number = self.pending_flows.start(now, opened, wanted);
+        let number = self.pending_flows.start(now, syn, wanted);
         self.advance_pending(now, number);
     }
 
     /// Starts to offer flows that arrived before any configuration was known.
     pub(super) fn open_unrouted(&mut self, now: Duration) {
-        while let Some(opened) = self.unrouted.pop(now) {
-            self.open_flow(now, opened);
+        while let Some(syn) = self.unrouted.pop(now) {
+            self.open_flow(now, syn);
         }
     }
 
@@ -98,7 +98,7 @@
         let parts = route.map(|route| route.targets.as_slice()).unwrap_or_default();
         let is_part = parts.iter().any(|part| part.service == view.report.service);
         let is_allowed = route.is_some_and(|route| view.is_in(&route.regions));
-        is_part && is_allowed && !view.is_suspect(now, self.standing.membership.interval())
+        is_part && is_allowed && !view.is_suspect(now, self.cluster.membership.interval())
     }
 
     /// Forwards a retransmitted SYN of a placed flow to its agent, since the reply to the caller
@@ -119,14 +119,14 @@
 
     /// Makes the next offer of a pending flow, if no answer is outstanding.
     pub(super) fn advance_pending(&mut self, now: Duration, number: u64) {
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         let random = &mut self.random;
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
         if pending.awaits_answer() {
             return;
         }
         // In overload no agent has a free slot: the flow is offered to a queue at once, if allowed.
-        let is_overloaded = self.pool.is_budget_spent(now, &pending.service);
+        let is_overloaded = self.pool.is_budget_exhausted(now, &pending.service);
         // The last offer that costs no retry budget asks for a place in the queue: an agent without
         // a free slot can then still take the flow, which is cheaper than further offers.
         let is_last_free = pending.offer_count + 1 >= FREE_OFFERS;
@@ -169,11 +169,11 @@
     /// Decides about a pending flow that no suitable agent has accepted: offers it to suspect or
     /// failing agents as a last resort, or to a wait queue, retries later, or gives up.
     pub(super) fn settle_unplaced(&mut self, now: Duration, number: u64) {
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
         let age = pending.age(now);
         let is_late = pending.is_late(now) && self.pool.is_recovering(now, &pending.service);
-        let is_overloaded = is_late || self.pool.is_budget_spent(now, &pending.service);
+        let is_overloaded = is_late || self.pool.is_budget_exhausted(now, &pending.service);
         let is_full = pending.was_declined(DeclineReason::Busy)
             || pending.was_declined(DeclineReason::Returned)
             || pending.was_declined(DeclineReason::Cold)
@@ -235,7 +235,7 @@
         if !self.policies.is_enabled(Policy::WaitQueue) {
             return false;
         }
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return false };
         if pending.remaining_wait(now).is_none() || pending.wait_queues_left() == 0 {
             return false;
@@ -270,23 +270,23 @@
     ) {
         self.pool.take_report(now, from, report);
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
-        let Some(asked) = pending.last_offer_to(from) else { return };
-        asked.answer = OfferAnswer::Queued;
+        let Some(offer) = pending.last_offer_to(from) else { return };
+        offer.answer = OfferAnswer::Queued;
         self.counters.openings_queued += 1;
         // The agent reports the outcome before this time; otherwise the caller's attempt is over.
-        let patience = pending.remaining_wait(now).unwrap_or_default();
-        self.pending_flows.wake_at(number, now + patience + WAIT_QUEUE_GRACE);
+        let remaining = pending.remaining_wait(now).unwrap_or_default();
+        self.pending_flows.wake_at(number, now + remaining + WAIT_QUEUE_REPLY_MARGIN);
     }
 
     /// Checks, when a retransmitted SYN arrives, the agent in whose wait queue the flow is: if that
     /// agent is suspect, the flow is offered to another one.
     fn check_queued_agent(&mut self, now: Duration, number: u64) {
-        let interval = self.standing.membership.interval();
+        let interval = self.cluster.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
         let Some(agent) = pending.queued_agent() else { return };
         let is_gone = self.pool.view(&agent).is_none_or(|view| view.is_suspect(now, interval));
-        if is_gone && let Some(asked) = pending.last_offer_to(agent) {
-            asked.answer = OfferAnswer::Unanswered;
+        if is_gone && let Some(offer) = pending.last_offer_to(agent) {
+            offer.answer = OfferAnswer::Unanswered;
             self.advance_pending(now, number);
         }
     }
@@ -352,16 +352,16 @@
             flow = flow_name(&pending.flow()).as_str(), agent:% = from,
             service = pending.service.as_str(), age_us = pending.age(now).as_micros() as u64,
             copy = pending.segment.acknowledgement,
-            asked = self.describe_asked(now, &pending).as_str(),
-            configuration:% = self.standing.configuration.version; "opening_placed"
+            asked = self.describe_offers(now, &pending).as_str(),
+            configuration:% = self.cluster.configuration.version; "opening_placed"
         );
         self.flows.insert(now, self.idle_timeout(), pending.flow(), from);
     }
 
     fn note_offer_latency(&self, now: Duration, pending: &PendingFlow, from: SocketAddrV4) {
-        let made = pending.offers.iter().rev().find(|asked| asked.agent == from);
-        if let Some(asked) = made {
-            self.latency.offer_answer.observe(now.saturating_sub(asked.offered_at));
+        let made = pending.offers.iter().rev().find(|offer| offer.agent == from);
+        if let Some(offer) = made {
+            self.latency.offer_answer.observe(now.saturating_sub(offer.offered_at));
         }
     }
 
@@ -376,9 +376,9 @@
         self.counters.offers_declined += 1;
         self.pool.take_report(now, from, report);
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
-        if let Some(asked) = pending.last_offer_to(from) {
-            asked.answer = OfferAnswer::Declined(reason);
-            self.latency.offer_answer.observe(now.saturating_sub(asked.offered_at));
+        if let Some(offer) = pending.last_offer_to(from) {
+            offer.answer = OfferAnswer::Declined(reason);
+            self.latency.offer_answer.observe(now.saturating_sub(offer.offered_at));
         }
         self.advance_pending(now, number);
     }
@@ -394,17 +394,17 @@
             }
             return;
         }
-        for asked in &mut pending.offers {
-            if asked.answer != OfferAnswer::Pending {
+        for offer in &mut pending.offers {
+            if offer.answer != OfferAnswer::Pending {
                 continue;
             }
-            asked.answer = OfferAnswer::Unanswered;
+            offer.answer = OfferAnswer::Unanswered;
             self.counters.offers_unanswered += 1;
             if is_late {
                 self.counters.unanswered_while_late += 1;
-            } else if self.pool.note_unanswered(&asked.agent) {
+            } else if self.pool.note_unanswered(&offer.agent) {
                 self.counters.suspicions += 1;
-                log::warn!(agent:% = asked.agent, reason = "offers_unanswered"; "agent_suspect");
+                log::warn!(agent:% = offer.agent, reason = "offers_unanswered"; "agent_suspect");
             }
         }
         self.advance_pending(now, number);
--- a/crates/carried/src/balancer/refusals.rs
+++ b/crates/carried/src/balancer/refusals.rs
@@ -43,8 +43,8 @@
             flow = flow_name(&segment.flow()).as_str(), reason = refusal.name(),
             age_ms = pending.map_or(0, |pending| pending.age(now).as_millis() as u64),
             service = pending.map_or("", |pending| pending.service.as_str()),
-            asked = pending.map(|pending| self.describe_asked(now, pending)).unwrap_or_default().as_str(),
-            configuration:% = self.standing.configuration.version; "opening_refused"
+            asked = pending.map(|pending| self.describe_offers(now, pending)).unwrap_or_default().as_str(),
+            configuration:% = self.cluster.configuration.version; "opening_refused"
         );
         let datagram = self.format.reset(segment);
         self.outputs.push_back(Output::ToCaller { host: *segment.source.ip(), datagram });
@@ -57,26 +57,26 @@
         log::warn!(
             flow = flow_name(&pending.flow()).as_str(), reason = refusal.name(),
             age_ms = pending.age(now).as_millis() as u64,
-            asked = self.describe_asked(now, pending).as_str(),
-            configuration:% = self.standing.configuration.version; "opening_left_to_copies"
+            asked = self.describe_offers(now, pending).as_str(),
+            configuration:% = self.cluster.configuration.version; "opening_left_to_copies"
         );
     }
 
     /// Describes, for the log, the agents that were offered a flow, with the answer, last reported
     /// load and age of that report of each.
-    pub(super) fn describe_asked(&self, now: Duration, pending: &PendingFlow) -> String {
-        let describe = |asked: &Offer| {
-            let answer = match asked.answer {
+    pub(super) fn describe_offers(&self, now: Duration, pending: &PendingFlow) -> String {
+        let describe = |offer: &Offer| {
+            let answer = match offer.answer {
                 OfferAnswer::Pending => "pending",
                 OfferAnswer::Unanswered => "unanswered",
                 OfferAnswer::Queued => "queued",
                 OfferAnswer::Declined(reason) => reason.name(),
             };
-            let view = self.pool.view(&asked.agent);
+            let view = self.pool.view(&offer.agent);
             let load = view.map(|view| (view.report.waiting, view.report.capacity, view.age(now)));
             let (waiting, capacity, age) = load.unwrap_or_default();
             let age = age.as_millis();
-            format!("{}:{answer}:{waiting}/{capacity}:{age}ms", asked.agent.ip())
+            format!("{}:{answer}:{waiting}/{capacity}:{age}ms", offer.agent.ip())
         };
         pending.offers.iter().map(describe).collect::<Vec<_>>().join(",")
     }
--- a/crates/carried/src/balancer/store_watch.rs
+++ b/crates/carried/src/balancer/store_watch.rs
@@ -67,8 +67,8 @@
     backoff_until: Duration,
     /// Consecutive failed calls.
     failures: u32,
-    /// Number of returns of the store known when it stopped answering this balancer.
-    returns_at_loss: Option<u32>,
+    /// Number of recoveries of the store known when it stopped answering this balancer.
+    recoveries_at_loss: Option<u32>,
     /// Whether it was logged that accepted changes may arrive here late.
     is_logged_late: bool,
 }
@@ -86,7 +86,7 @@
             last_read: None,
             backoff_until: Duration::ZERO,
             failures: 0,
-            returns_at_loss: None,
+            recoveries_at_loss: None,
             is_logged_late: false,
         }
     }
@@ -113,9 +113,9 @@
         is_chosen && now >= watch.backoff_until
     }
 
-    /// How often the shared store has returned from an outage, as far as is known.
-    pub fn store_returns(&self) -> u32 {
-        self.standing.store.recoveries()
+    /// How often the shared store has recovered from an outage, as far as is known.
+    pub fn store_recoveries(&self) -> u32 {
+        self.cluster.store.recoveries()
     }
 
     /// Records whether the shared store has answered this balancer. If it has, this balancer knows
@@ -125,22 +125,22 @@
         if !answers {
             let jitter = self.random.random_range(0.75..1.25);
             self.store_watch.back_off(now, jitter);
-            let returns = self.standing.store.recoveries();
-            self.store_watch.returns_at_loss.get_or_insert(returns);
+            let recoveries = self.cluster.store.recoveries();
+            self.store_watch.recoveries_at_loss.get_or_insert(recoveries);
             return;
         }
-        self.standing.store.note_confirmed(now);
+        self.cluster.store.note_confirmed(now);
         self.store_watch.failures = 0;
         self.store_watch.backoff_until = Duration::ZERO;
-        let returns_at_loss = self.store_watch.returns_at_loss.take();
-        if returns_at_loss.is_some_and(|known| self.standing.store.note_recovery(known)) {
-            self.standing.membership.spread_news(now);
+        let recoveries_at_loss = self.store_watch.recoveries_at_loss.take();
+        if recoveries_at_loss.is_some_and(|known| self.cluster.store.note_recovery(known)) {
+            self.cluster.membership.spread_news(now);
         }
     }
 
     /// Time since this balancer last knew every accepted configuration.
     pub(super) fn unconfirmed_for(&self, now: Duration) -> Duration {
-        now.saturating_sub(self.standing.store.confirmed_at())
+        now.saturating_sub(self.cluster.store.confirmed_at())
     }
 
     /// When [`CarriedBalancer::follow_store`] must be called next.
@@ -163,10 +163,10 @@
             return None;
         }
         // Within a heartbeat interval the result of the previous balancer's read arrives here.
-        let heartbeat_interval = self.standing.membership.interval();
+        let heartbeat_interval = self.cluster.membership.interval();
         let turn = watch.bound.mul_f64(TURNS_SHARE / balancers as f64).min(heartbeat_interval);
         let stale_after = watch.bound.mul_f64(STALE_SHARE) + turn * watch.rank as u32;
-        let confirmed_at = self.standing.store.confirmed_at();
+        let confirmed_at = self.cluster.store.confirmed_at();
         let pause = watch.bound.mul_f64((balancers as f64 / MAX_FAILED_READS).max(1.0));
         let unanswered = watch.last_read.filter(|last| *last > confirmed_at);
         Some(unanswered.map_or(confirmed_at + stale_after, |last| last + pause))
@@ -207,7 +207,7 @@
 
     /// Ranks the known balancers and decides whether this one watches the store.
     fn review_watchers(&mut self, now: Duration) {
-        let places = self.standing.membership.balancer_ranks(now);
+        let places = self.cluster.membership.balancer_ranks(now);
         let zones = (places.balancers / places.in_zone.max(1)).max(1);
         let in_zone = MIN_WATCHERS_PER_ZONE.max(MIN_WATCHERS.div_ceil(zones));
         let is_chosen = places.rank_in_zone < in_zone;
--- a/crates/carried/src/balancer/unrouted.rs
+++ b/crates/carried/src/balancer/unrouted.rs
@@ -13,7 +13,7 @@
 
 /// Maximum number of flows kept. If there are more, the oldest are dropped and started over by
 /// their retransmitted SYNs.
-const MAX_KEPT: usize = 4_096;
+const MAX_KEPT_FLOWS: usize = 4_096;
 
 /// Time between two batches of flows that are offered once a configuration is known. Without
 /// batches, 27 balancers that offered 180 flows each at once kept small agents from answering for
@@ -39,14 +39,14 @@
 
 impl UnroutedFlows {
     /// Keeps a SYN. If it is a retransmission, only the arrival time of the kept one is updated.
-    pub(super) fn keep(&mut self, opened: ReceivedSyn) {
-        let flow = opened.segment.flow();
-        let now = opened.received_at;
-        match self.kept.get_mut(&flow).filter(|kept| kept.is_retransmission(&opened)) {
+    pub(super) fn keep(&mut self, syn: ReceivedSyn) {
+        let flow = syn.segment.flow();
+        let now = syn.received_at;
+        match self.kept.get_mut(&flow).filter(|kept| kept.is_retransmission(&syn)) {
             // The flow has been waiting since its first SYN arrived.
-            Some(kept) => kept.arrived_at = opened.arrived_at,
+            Some(kept) => kept.arrived_at = syn.arrived_at,
             None => {
-                self.kept.insert(flow, opened);
+                self.kept.insert(flow, syn);
                 self.order.push_back((now, flow));
             }
         }
@@ -57,7 +57,7 @@
     fn evict(&mut self, now: Duration) {
         while let Some((since, flow)) = self.order.front() {
             let is_over = now.saturating_sub(*since) >= ATTEMPT_TIMEOUT;
-            if !is_over && self.order.len() <= MAX_KEPT {
+            if !is_over && self.order.len() <= MAX_KEPT_FLOWS {
                 return;
             }
             if self.kept.get(flow).is_some_and(|kept| kept.received_at == *since) {
--- a/crates/carried/src/counters.rs
+++ b/crates/carried/src/counters.rs
@@ -3,7 +3,7 @@
 use loftdrift_counters::counter_set;
 
 counter_set! {
-    /// Counters of a balancer of carried flows.
+    /// Counters of a balancer for carried flows.
     pub struct CarriedBalancerCounters {
         /// Packets received from callers.
         packets_received,
@@ -115,7 +115,7 @@
 }
 
 counter_set! {
-    /// Counters of an agent of carried flows.
+    /// Counters of an agent for carried flows.
     pub struct CarriedAgentCounters {
         /// Offers of new flows received.
         offers_received,
--- a/crates/carried/src/incarnation.rs
+++ b/crates/carried/src/incarnation.rs
@@ -59,7 +59,7 @@
 impl fmt::Display for Incarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.started_at_ms {
-            Some(born_ms) => write!(formatter, "{}@{born_ms}", self.id),
+            Some(started_at_ms) => write!(formatter, "{}@{started_at_ms}", self.id),
             None => formatter.write_str(&self.id),
         }
     }
--- a/crates/carried/src/latency.rs
+++ b/crates/carried/src/latency.rs
@@ -2,7 +2,7 @@
 
 use loftdrift_counters::Histogram;
 
-/// Histograms of a balancer of carried flows.
+/// Histograms of a balancer for carried flows.
 #[derive(Clone, Debug)]
 pub struct BalancerLatency {
     /// Time from an offer to the agent's answer.
@@ -54,7 +54,7 @@
     }
 }
 
-/// Histograms of an agent of carried flows.
+/// Histograms of an agent for carried flows.
 #[derive(Clone, Debug)]
 pub struct AgentLatency {
     /// Time from passing a SYN to the back end until the back end answers it.
--- a/crates/carried/src/lookup.rs
+++ b/crates/carried/src/lookup.rs
@@ -48,7 +48,7 @@
     /// It was asked at this time and has not answered.
     Asked(Duration),
     /// It may have lost its record of the flow.
-    Unsure,
+    Unknown,
     /// It was given a trial packet at this time.
     Tried(Duration),
     /// It answered at this time that it does not own the flow.
@@ -77,7 +77,7 @@
     delay_doublings: u32,
     /// When the agents without a final answer are asked again.
     pub(crate) next_retry: Duration,
-    /// Whether the log already says that this lookup takes long.
+    /// Whether this lookup has already been logged as slow.
     pub(crate) slow_logged: bool,
     /// When the caller was last notified that no agent owns the flow.
     pub(crate) reset_at: Option<Duration>,
@@ -121,7 +121,7 @@
         for answer in self.answers.values_mut() {
             if matches!(answer, AgentAnswer::Tried(at) if now.saturating_sub(*at) >= TRIAL_TIMEOUT)
             {
-                *answer = AgentAnswer::Unsure;
+                *answer = AgentAnswer::Unknown;
             }
         }
         self.delay_doublings = 0;
@@ -170,12 +170,12 @@
         self.answers.values().any(|answer| matches!(answer, AgentAnswer::Absent(_)))
     }
 
-    /// Agents whose answer or reaction is overdue, and agents that were unsure.
+    /// Agents whose answer or reaction is overdue, and agents that did not know.
     pub(crate) fn unresolved(&self, now: Duration) -> Vec<SocketAddrV4> {
         let is_unresolved = |answer: &AgentAnswer| match answer {
             AgentAnswer::Asked(at) => now.saturating_sub(*at) >= ANSWER_TIMEOUT,
             AgentAnswer::Tried(at) => now.saturating_sub(*at) >= TRIAL_TIMEOUT,
-            AgentAnswer::Unsure => true,
+            AgentAnswer::Unknown => true,
             AgentAnswer::Absent(_) => false,
         };
         let unresolved = self.answers.iter().filter(|(_, answer)| is_unresolved(answer));
@@ -196,7 +196,7 @@
         let until = self.answers.values().filter_map(|answer| match answer {
             AgentAnswer::Asked(at) => Some(*at + ANSWER_TIMEOUT),
             AgentAnswer::Tried(at) => Some(*at + TRIAL_TIMEOUT),
-            AgentAnswer::Unsure | AgentAnswer::Absent(_) => None,
+            AgentAnswer::Unknown | AgentAnswer::Absent(_) => None,
         });
         until.filter(|until| *until > now).max()
     }
--- a/crates/carried/src/membership.rs
+++ b/crates/carried/src/membership.rs
@@ -1,13 +1,13 @@
 //! The nodes that a node knows, and when to send heartbeats to them.
 //!
-//! A node remembers every node that it has heard of and keeps sending heartbeats to it, so that one
-//! that restarts with empty memory hears from the others within an interval. The interval grows
-//! with the number of peers: a node's heartbeats never take more than a fixed number of bytes per
-//! second. In large systems the data path shows which agents respond.
+//! A node remembers every node that it knows about and keeps sending heartbeats to it, so that one
+//! that restarts with empty memory receives heartbeats of the others within an interval. The
+//! interval grows with the number of peers: a node's heartbeats never take more than a fixed number
+//! of bytes per second. In large systems the data path shows which agents respond.
 //!
 //! Each pair of nodes has its own phase within the interval. Otherwise nodes that start together
 //! would send to all peers at one moment and be silent until the next one: with 986 nodes for 30 s,
-//! during which nobody learns of a newer configuration. With phases, a node receives heartbeats of
+//! during which no node learns of a newer configuration. With phases, a node receives heartbeats of
 //! balancers at a steady rate at any size: 31 heartbeats per second times the share of balancers
 //! among all nodes.
 
@@ -40,7 +40,7 @@
 /// Number of peers that news is sent to at once, spread evenly over all and different each time.
 /// Two rounds reach 1,000 nodes; nodes that all rounds have missed get the news with regular
 /// heartbeats.
-const NEWS_FAN_OUT: usize = 32;
+const PEERS_PER_NEWS_ROUND: usize = 32;
 
 /// Tolerance for rounding of times when checking whether a phase has just passed, as a share of the
 /// interval.
@@ -95,7 +95,7 @@
     }
 }
 
-/// Rank of a balancer among the balancers that it hears from, itself included.
+/// Rank of a balancer among the balancers whose heartbeats it receives, itself included.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BalancerRanks {
     /// Number of balancers in its zone.
@@ -239,8 +239,8 @@
     pub fn spread_news(&mut self, now: Duration) {
         self.news_rounds += 1;
         let count = self.peers.len();
-        let fan_out = NEWS_FAN_OUT.min(count);
-        let step = (count / NEWS_FAN_OUT).max(1);
+        let fan_out = PEERS_PER_NEWS_ROUND.min(count);
+        let step = (count / PEERS_PER_NEWS_ROUND).max(1);
         let first = stable_hash(&self.me.address, &self.me.address, self.news_rounds) as usize;
         let rotated = self.peers.keys().cycle().skip(first % count.max(1));
         let chosen: Vec<SocketAddrV4> = rotated.step_by(step).take(fan_out).copied().collect();
@@ -259,7 +259,7 @@
     }
 
     /// When a node's last heartbeat was received, or when the node became known if there was none.
-    pub(crate) fn last_heard_at(&self, address: &SocketAddrV4) -> Option<Duration> {
+    pub(crate) fn last_contact_at(&self, address: &SocketAddrV4) -> Option<Duration> {
         self.peers.get(address).map(|peer| peer.last_heartbeat_at.unwrap_or(peer.known_since))
     }
 
@@ -268,7 +268,7 @@
         self.peers.len()
     }
 
-    /// Rank of this node among the balancers that were heard from recently.
+    /// Rank of this node among the balancers whose heartbeats have arrived recently.
     pub(crate) fn balancer_ranks(&self, now: Duration) -> BalancerRanks {
         let alive_timeout = self.interval() * ALIVE_INTERVALS;
         let mine = watcher_order(self.me.link_mbps, self.me.address);
--- a/crates/carried/src/policy.rs
+++ b/crates/carried/src/policy.rs
@@ -43,7 +43,7 @@
     /// A retry budget bounds repeated offers by the number of flows placed.
     OfferBudget,
     /// Lookups of forgotten flows take a bounded share of the process's time.
-    RepairBudget,
+    LookupLimiter,
     /// After a power loss of the whole system, flows from before count as over.
     PowerLoss,
 }
@@ -68,7 +68,7 @@
         Policy::FewWatchers,
         Policy::SchedulingDelay,
         Policy::OfferBudget,
-        Policy::RepairBudget,
+        Policy::LookupLimiter,
         Policy::PowerLoss,
     ];
 
@@ -92,7 +92,7 @@
             Policy::FewWatchers => "few-watchers",
             Policy::SchedulingDelay => "own-lateness",
             Policy::OfferBudget => "offer-budget",
-            Policy::RepairBudget => "repair-budget",
+            Policy::LookupLimiter => "repair-budget",
             Policy::PowerLoss => "power-loss",
         }
     }
--- a/crates/carried/src/pool.rs
+++ b/crates/carried/src/pool.rs
@@ -20,7 +20,7 @@
 const NOISE_SHARE: f64 = 0.1;
 /// Number of candidates compared in a large service, taken from the top of the flow's ranking: this
 /// many of the balancer's own zone and this many of all others. Balancers with the same knowledge
-/// thus do not all choose the same agent, and each of them can tell later where a flow may be.
+/// thus do not all choose the same agent, and each of them can work out later where a flow may be.
 pub(crate) const SAMPLE_SIZE: usize = 8;
 
 /// The agents of all services.
@@ -91,7 +91,7 @@
     }
 
     /// Whether so many flows of a service are declined that no repeated offers are available.
-    pub(crate) fn is_budget_spent(&mut self, now: Duration, service: &str) -> bool {
+    pub(crate) fn is_budget_exhausted(&mut self, now: Duration, service: &str) -> bool {
         self.policies.is_enabled(Policy::OfferBudget) && self.budget(now, service).is_exhausted(now)
     }
 
@@ -223,8 +223,8 @@
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, agent)| agent)
     }
 
-    /// The suspect agent of a service that was heard from last, among those whose last report says
-    /// that they take new flows: a last resort.
+    /// The suspect agent of a service with the newest report, among those whose last report says that
+    /// they take new flows: a last resort.
     pub(crate) fn suspect(
         &self,
         now: Duration,
--- a/crates/carried/src/retained_evacuations.rs
+++ b/crates/carried/src/retained_evacuations.rs
@@ -1,10 +1,10 @@
 //! Evacuations that stay in force although the shared store, restored from an older copy, does not
 //! list them.
 //!
-//! An evacuation that was lost with the newer data cannot be told from one that operators have
-//! ended meanwhile. Operators write again what was lost. Until it is certain that they won't, a
-//! zone that may still be evacuated gets no new flows: two seconds without its back ends cost less
-//! than new flows in a zone that is being emptied.
+//! An evacuation that was lost with the newer data cannot be distinguished from one that operators
+//! have ended meanwhile. Operators write again what was lost. Until it is certain that they do not,
+//! a zone that may still be evacuated gets no new flows: two seconds without its back ends cost
+//! less than new flows in a zone that is being emptied.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/carried/src/store_status.rs
+++ b/crates/carried/src/store_status.rs
@@ -1,8 +1,8 @@
-//! What nodes tell each other about the shared store: how long ago it confirmed that it held
-//! nothing newer, and how often it came back after an outage.
+//! What nodes report to each other about the shared store: how long ago it confirmed that it held
+//! nothing newer, and how often it recovered from an outage.
 //!
-//! Only a few nodes watch the store. The others must be able to tell a period without changes from
-//! one in which changes do not reach anybody.
+//! Only a few nodes watch the store. The others must be able to distinguish a period without
+//! changes from one in which changes reach no node.
 //!
 //! Invariants:
 //! - A confirmation is never taken for younger than it is, except for the time that a message was
@@ -84,7 +84,7 @@
     }
 
     /// Takes over the number of recoveries that a peer knows, if it is larger.
-    pub(crate) fn note_peer_recoveries(&mut self, returns: u32) {
-        self.recoveries = self.recoveries.max(returns);
+    pub(crate) fn note_peer_recoveries(&mut self, recoveries: u32) {
+        self.recoveries = self.recoveries.max(recoveries);
     }
 }
--- a/crates/carried/src/version.rs
+++ b/crates/carried/src/version.rs
@@ -44,7 +44,7 @@
 }
 
 /// The version of an operators' document. The order is total: no two different documents are equal.
-/// [`Version::covers`] tells which of two is more complete.
+/// [`Version::covers`] decides which of two is more complete.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Version {
     /// The operator's own number of the configuration, which increases with each one. 0 if none is
--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -44,8 +44,8 @@
 
 impl StartTime {
     /// Start time of a process that at `now` reports how many milliseconds it has run.
-    pub(crate) fn from_uptime(now: Duration, up_ms: u32) -> Self {
-        StartTime(i64::try_from(now.as_millis()).unwrap_or(i64::MAX) - i64::from(up_ms))
+    pub(crate) fn from_uptime(now: Duration, uptime_ms: u32) -> Self {
+        StartTime(i64::try_from(now.as_millis()).unwrap_or(i64::MAX) - i64::from(uptime_ms))
     }
 
     /// Time between two starts.
@@ -215,7 +215,7 @@
     }
 
     /// How complete the agent's knowledge of its back end's flows is, as the agent itself reports.
-    pub(crate) fn memory(&self) -> FlowKnowledge {
+    pub(crate) fn flow_knowledge(&self) -> FlowKnowledge {
         self.report.flow_knowledge
     }
 
--- a/crates/carried/tests/admission_pause.rs
+++ b/crates/carried/tests/admission_pause.rs
@@ -24,7 +24,7 @@
 fn resumed_balancer() -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     for agent in 1..=20 {
-        tell(&mut balancer, milliseconds(0), agent, load());
+        send_report(&mut balancer, milliseconds(0), agent, load());
     }
     outputs_of(&mut balancer);
     balancer.resume(RESUMED_AT);
@@ -108,6 +108,6 @@
             .any(|output| matches!(output, Output::ToPeer { message: Message::Lookup { .. }, .. }))
     );
     assert_eq!(count_offers(&mut balancer, RESUMED_AT + milliseconds(100), 1), 0);
-    // All agents are suspect by then, so the flow is offered to the one heard last.
+    // All agents are suspect by then, so the flow is offered to the one that reported last.
     assert_eq!(count_offers(&mut balancer, RESUMED_AT + milliseconds(200), 1), 1);
 }
--- a/crates/carried/tests/audit.rs
+++ b/crates/carried/tests/audit.rs
@@ -46,7 +46,7 @@
                     condition: BackendCondition::Accepting,
                     ..LoadReport::default()
                 };
-                tell(balancer, milliseconds(at), *agent, report);
+                send_report(balancer, milliseconds(at), *agent, report);
             }
         }
         balancer.handle_timeout(milliseconds(at));
@@ -96,8 +96,8 @@
     }
 }
 
-fn encoded_heartbeat(store_returns: u32) -> Vec<u8> {
-    Message::Heartbeat(heartbeat_of("a", None, store_returns)).encode()
+fn encoded_heartbeat(store_recoveries: u32) -> Vec<u8> {
+    Message::Heartbeat(heartbeat_of("a", None, store_recoveries)).encode()
 }
 
 fn balancer_of(number: u8) -> SocketAddrV4 {
@@ -106,7 +106,7 @@
 
 /// Entries may be lost while the store refuses some nodes.
 #[test]
-fn the_newest_list_is_audited_soon_after_the_store_returns() {
+fn the_newest_list_is_audited_soon_after_the_store_recovers() {
     let mut balancer = balancer_alone();
     run(&mut balancer, &[1], 0, 5 * SECOND);
     balancer.handle_peer(milliseconds(5_000), address("10.1.0.2:7720"), &encoded_heartbeat(1));
@@ -175,7 +175,7 @@
         condition: BackendCondition::Ended,
         ..LoadReport::default()
     };
-    tell(&mut balancer, milliseconds(20 * SECOND), 2, ended);
+    send_report(&mut balancer, milliseconds(20 * SECOND), 2, ended);
     let list = [
         listed(balancer_address(), NodeRole::Balancer),
         listed(agent_address(1), NodeRole::Agent),
--- a/crates/carried/tests/evacuation.rs
+++ b/crates/carried/tests/evacuation.rs
@@ -74,8 +74,8 @@
 #[test]
 fn a_balancer_makes_no_offers_to_an_evacuated_zone_until_the_evacuation_ends() {
     let mut balancer = new_balancer(1);
-    tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
-    tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
     let asked = |balancer: &mut loftdrift_carried::CarriedBalancer, at: u64, port: u16| {
         outputs_of(balancer);
         balancer.handle_caller(milliseconds(at), &packet(&syn(port)));
@@ -83,7 +83,7 @@
     };
     assert_eq!(asked(&mut balancer, 1, 1), [agent_address(1)]);
     balancer.adopt(milliseconds(2), evacuated(2, &[HOME]));
-    tell_from_zone(&mut balancer, milliseconds(3), 1, HOME, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(3), 1, HOME, accepting());
     assert_eq!(asked(&mut balancer, 4, 2), [agent_address(2)]);
     balancer.adopt(milliseconds(5), evacuated(3, &[]));
     assert_eq!(asked(&mut balancer, 6, 3), [agent_address(1)]);
@@ -92,8 +92,8 @@
 #[test]
 fn new_flows_are_refused_at_once_if_all_zones_of_a_service_are_evacuated() {
     let mut balancer = new_balancer(1);
-    tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
-    tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
     balancer.adopt(milliseconds(1), evacuated(2, &[HOME, OTHER]));
     outputs_of(&mut balancer);
     balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
@@ -120,7 +120,7 @@
 #[test]
 fn a_later_read_of_the_same_content_only_raises_the_revision() {
     let mut balancer = new_balancer(1);
-    tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
     balancer.handle_timeout(milliseconds(1));
     outputs_of(&mut balancer);
     assert!(!balancer.adopt(milliseconds(2), evacuated(40, &[])));
@@ -255,11 +255,11 @@
 #[test]
 fn a_balancer_makes_no_offers_to_a_zone_whose_evacuation_the_store_has_lost() {
     let mut balancer = new_balancer(1);
-    tell_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
-    tell_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 1, HOME, accepting());
+    send_report_from_zone(&mut balancer, milliseconds(0), 2, OTHER, accepting());
     let asked = |balancer: &mut loftdrift_carried::CarriedBalancer, at: u64, port: u16| {
-        tell_from_zone(balancer, milliseconds(at), 1, HOME, accepting());
-        tell_from_zone(balancer, milliseconds(at), 2, OTHER, accepting());
+        send_report_from_zone(balancer, milliseconds(at), 1, HOME, accepting());
+        send_report_from_zone(balancer, milliseconds(at), 2, OTHER, accepting());
         balancer.handle_timeout(milliseconds(at));
         outputs_of(balancer);
         balancer.handle_caller(milliseconds(at), &packet(&syn(port)));
--- a/crates/carried/tests/incarnations.rs
+++ b/crates/carried/tests/incarnations.rs
@@ -166,7 +166,7 @@
         .map(|sequence| receive(&mut agent, sequence * PERIOD_MS, STARTS_MS[0], sequence, true))
         .collect();
     assert_eq!(outcomes[..4], [ReportOutcome::Outdated; 4]);
-    // It has been heard from since 1.2 s.
+    // Its heartbeats have arrived since 1.2 s.
     assert_eq!(outcomes[4], ReportOutcome::Outdated);
     assert_eq!(receive(&mut agent, 6 * PERIOD_MS, STARTS_MS[0], 6, true), ReportOutcome::Started);
     assert_eq!(receive(&mut agent, 7 * PERIOD_MS, STARTS_MS[0], 7, true), ReportOutcome::Updated);
--- a/crates/carried/tests/lookups.rs
+++ b/crates/carried/tests/lookups.rs
@@ -30,7 +30,7 @@
     let list: Vec<_> = (1..=agents).map(|agent| (agent_address(agent), NodeRole::Agent)).collect();
     balancer.learn_members(milliseconds(0), &list);
     for agent in 1..=agents {
-        tell(&mut balancer, milliseconds(0), agent, load());
+        send_report(&mut balancer, milliseconds(0), agent, load());
     }
     outputs_of(&mut balancer);
     balancer
@@ -68,18 +68,18 @@
     balancer: &mut CarriedBalancer,
     now: Duration,
     agent: SocketAddrV4,
-    word: FlowStatus,
+    status: FlowStatus,
 ) -> Vec<Output> {
-    balancer.handle_peer(now, agent, &reply(1, word).encode());
+    balancer.handle_peer(now, agent, &reply(1, status).encode());
     settle(balancer, now)
 }
 
-/// Answers every question with the agent's answer as given by `word`, until no more are sent, and
-/// returns all outputs.
+/// Answers every question with the agent's answer as given by `status_of`, until no more are sent,
+/// and returns all outputs.
 fn answer_all(
     balancer: &mut CarriedBalancer,
     now: Duration,
-    word: impl Fn(SocketAddrV4) -> Option<FlowStatus>,
+    status_of: impl Fn(SocketAddrV4) -> Option<FlowStatus>,
 ) -> Vec<Output> {
     let mut all = Vec::new();
     let mut now = now;
@@ -89,8 +89,8 @@
         all.extend(open.iter().cloned());
         let mut next = Vec::new();
         for agent in asked(&open) {
-            if let Some(said) = word(agent) {
-                next.extend(answer(balancer, now, agent, said));
+            if let Some(status) = status_of(agent) {
+                next.extend(answer(balancer, now, agent, status));
             }
         }
         open = next;
@@ -103,12 +103,12 @@
     let mut balancer = informed_balancer(20);
     let mut open = asked(&receive(&mut balancer, milliseconds(1), &request()));
     assert_eq!(open.len(), 16, "the first batch");
-    let mut said = 0;
+    let mut answered = 0;
     while let Some(agent) = open.pop() {
         let outputs = answer(&mut balancer, milliseconds(3), agent, FlowStatus::Absent);
-        said += 1;
+        answered += 1;
         open.extend(asked(&outputs));
-        assert_eq!(resets(&outputs), usize::from(said == 20), "after {said}");
+        assert_eq!(resets(&outputs), usize::from(answered == 20), "after {answered}");
     }
     assert_eq!(balancer.counters(milliseconds(3)).flows_told_over, 1);
     // The reset was lost: the caller's retransmission is reset at once.
@@ -124,10 +124,10 @@
     let deny = |agent| (agent != silent).then_some(FlowStatus::Absent);
     let outputs = answer_all(&mut balancer, milliseconds(3), deny);
     assert_eq!(resets(&outputs), 0);
-    // The silent agent may be partitioned or frozen, its flows still open. The others are heard.
+    // The silent agent may be partitioned or frozen, its flows still open. The others report.
     for at in (100..14_000).step_by(100) {
         for agent in (1..=7).filter(|agent| agent_address(*agent) != silent) {
-            tell(&mut balancer, milliseconds(at), agent, load());
+            send_report(&mut balancer, milliseconds(at), agent, load());
         }
         if at % 1_000 == 0 {
             balancer.handle_caller(milliseconds(at), &packet(&request()));
@@ -145,7 +145,7 @@
 fn a_departed_agent_does_not_block_a_lookup() {
     let mut balancer = informed_balancer(7);
     let ended = LoadReport { condition: BackendCondition::Ended, ..load() };
-    tell(&mut balancer, milliseconds(1), 3, ended);
+    send_report(&mut balancer, milliseconds(1), 3, ended);
     balancer.handle_caller(milliseconds(2), &packet(&request()));
     let gone = agent_address(3);
     let deny = |agent| (agent != gone).then_some(FlowStatus::Absent);
@@ -160,7 +160,7 @@
 fn an_agent_whose_departure_notice_is_old_is_asked() {
     let mut balancer = informed_balancer(7);
     let ended = LoadReport { condition: BackendCondition::Ended, ..load() };
-    tell(&mut balancer, milliseconds(1), 3, ended);
+    send_report(&mut balancer, milliseconds(1), 3, ended);
     // The balancer's process was stalled; meanwhile the agent's next back end has accepted flows.
     balancer.resume(milliseconds(4_000));
     outputs_of(&mut balancer);
@@ -189,13 +189,13 @@
 fn a_balancer_that_has_not_read_the_list_resets_no_caller_for_seconds() {
     let mut balancer = new_balancer(1);
     for agent in 1..=3 {
-        tell(&mut balancer, milliseconds(0), agent, load());
+        send_report(&mut balancer, milliseconds(0), agent, load());
     }
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(FlowStatus::Absent));
     assert_eq!(resets(&outputs), 0, "there may be other agents");
     for agent in 1..=3 {
-        tell(&mut balancer, milliseconds(5_100), agent, load());
+        send_report(&mut balancer, milliseconds(5_100), agent, load());
     }
     balancer.handle_caller(milliseconds(5_100), &packet(&request()));
     let outputs = answer_all(&mut balancer, milliseconds(5_101), |_| Some(FlowStatus::Absent));
@@ -206,16 +206,16 @@
 fn a_packet_is_tried_at_no_back_end_before_all_agents_that_know_have_denied() {
     let mut balancer = informed_balancer(7);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
-    let unsure = agent_address(2);
-    let word = |agent| match agent == unsure {
+    let undecided = agent_address(2);
+    let status_of = |agent| match agent == undecided {
         true => Some(FlowStatus::Unknown),
         false => Some(FlowStatus::Absent),
     };
-    let outputs = answer_all(&mut balancer, milliseconds(3), word);
-    assert_eq!(tried(&outputs), [unsure]);
+    let outputs = answer_all(&mut balancer, milliseconds(3), status_of);
+    assert_eq!(tried(&outputs), [undecided]);
     assert_eq!(forwarded(&outputs), []);
     assert_eq!(resets(&outputs), 0, "the back end's reaction decides");
-    let outputs = answer(&mut balancer, milliseconds(4), unsure, FlowStatus::Absent);
+    let outputs = answer(&mut balancer, milliseconds(4), undecided, FlowStatus::Absent);
     assert_eq!(resets(&outputs), 1);
 }
 
@@ -223,7 +223,7 @@
 fn while_a_silent_agent_may_own_the_flow_only_two_trials_are_made() {
     let mut balancer = informed_balancer(7);
     let silent = agent_address(7);
-    let word = |agent| (agent != silent).then_some(FlowStatus::Unknown);
+    let status_of = |agent| (agent != silent).then_some(FlowStatus::Unknown);
     let mut given = HashSet::new();
     let mut trials = 0;
     for at in (1..3_900).step_by(20) {
@@ -231,7 +231,7 @@
             balancer.handle_caller(milliseconds(at), &packet(&request()));
         }
         balancer.handle_timeout(milliseconds(at));
-        let outputs = answer_all(&mut balancer, milliseconds(at), word);
+        let outputs = answer_all(&mut balancer, milliseconds(at), status_of);
         let now_tried = tried(&outputs);
         trials += now_tried.len();
         given.extend(now_tried);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn an_agent_that_has_not_heard_of_its_back_end_is_asked_again_without_a_trial() {
+fn an_agent_without_a_report_of_its_back_end_is_asked_again_without_a_trial() {
     let mut balancer = informed_balancer(3);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let early = |agent| match agent == agent_address(1) {
@@ -263,7 +263,7 @@
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     run_timers(&mut balancer, 10, 99);
     for agent in 1..=3 {
-        tell(&mut balancer, milliseconds(100), agent, restarted.clone());
+        send_report(&mut balancer, milliseconds(100), agent, restarted.clone());
     }
     run_timers(&mut balancer, 100, 119);
     balancer.handle_caller(milliseconds(120), &packet(&request()));
@@ -279,9 +279,9 @@
     let restarted = LoadReport { backend_age_ms: Some(900), ..load() };
     let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
-    // All started together. The agents are heard 0.9 s later, but one of them is missing by then.
+    // All started together. The agents report 0.9 s later, but one of them is missing by then.
     for agent in 1..=3 {
-        tell(&mut balancer, milliseconds(900), agent, restarted.clone());
+        send_report(&mut balancer, milliseconds(900), agent, restarted.clone());
     }
     balancer.handle_caller(milliseconds(950), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
@@ -295,7 +295,7 @@
     let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     for agent in 1..=3 {
-        tell(&mut balancer, milliseconds(100), agent, restarted.clone());
+        send_report(&mut balancer, milliseconds(100), agent, restarted.clone());
     }
     balancer.handle_caller(milliseconds(800), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
@@ -307,9 +307,14 @@
     let restarted = LoadReport { backend_age_ms: Some(100), ..load() };
     let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
-    tell(&mut balancer, milliseconds(100), 1, restarted.clone());
-    tell(&mut balancer, milliseconds(100), 2, restarted);
-    tell(&mut balancer, milliseconds(100), 3, LoadReport { backend_age_ms: Some(9_000), ..load() });
+    send_report(&mut balancer, milliseconds(100), 1, restarted.clone());
+    send_report(&mut balancer, milliseconds(100), 2, restarted);
+    send_report(
+        &mut balancer,
+        milliseconds(100),
+        3,
+        LoadReport { backend_age_ms: Some(9_000), ..load() },
+    );
     balancer.handle_caller(milliseconds(400), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(401), deny)), 0);
--- a/crates/carried/tests/lookups_after_restart.rs
+++ b/crates/carried/tests/lookups_after_restart.rs
@@ -12,25 +12,25 @@
 
 const AGENTS: u8 = 20;
 
-fn load(flow_knowledge: FlowKnowledge, up_ms: u32) -> LoadReport {
+fn load(flow_knowledge: FlowKnowledge, uptime_ms: u32) -> LoadReport {
     LoadReport {
         service: SERVICE.to_owned(),
         condition: BackendCondition::Accepting,
         capacity: 4,
         flow_knowledge,
-        uptime_ms: Some(up_ms),
+        uptime_ms: Some(uptime_ms),
         ..LoadReport::default()
     }
 }
 
 /// A balancer that has read the list of nodes and has received each agent's `report` at 100 ms.
-fn balancer_hearing(report: impl Fn(u8) -> LoadReport) -> CarriedBalancer {
+fn balancer_with_reports(report: impl Fn(u8) -> LoadReport) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     let list: Vec<_> = (1..=AGENTS).map(|agent| (agent_address(agent), NodeRole::Agent)).collect();
     balancer.learn_members(milliseconds(0), &list);
     run_timers(&mut balancer, 0, 100);
     for agent in 1..=AGENTS {
-        tell(&mut balancer, milliseconds(100), agent, report(agent));
+        send_report(&mut balancer, milliseconds(100), agent, report(agent));
     }
     outputs_of(&mut balancer);
     balancer
@@ -51,13 +51,13 @@
 }
 
 /// Has every agent that is asked about a flow give the same answer, and returns all outputs.
-fn answer_all(balancer: &mut CarriedBalancer, up_ms: u32, word: FlowStatus) -> Vec<Output> {
+fn answer_all(balancer: &mut CarriedBalancer, uptime_ms: u32, status: FlowStatus) -> Vec<Output> {
     let mut all = Vec::new();
     for at in 101..160 {
         balancer.handle_timeout(milliseconds(at));
         let outputs = outputs_of(balancer);
         for agent in asked(&outputs) {
-            balancer.handle_peer(milliseconds(at), agent, &encoded_answer(1, up_ms, word));
+            balancer.handle_peer(milliseconds(at), agent, &encoded_answer(1, uptime_ms, status));
         }
         all.extend(outputs);
     }
@@ -67,17 +67,17 @@
 
 #[test]
 fn agents_that_may_have_lost_flows_are_tried_without_a_question() {
-    let mut balancer = balancer_hearing(|_| load(FlowKnowledge::Partial, 60_000));
+    let mut balancer = balancer_with_reports(|_| load(FlowKnowledge::Partial, 60_000));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     balancer.handle_timeout(milliseconds(101));
     let outputs = outputs_of(&mut balancer);
-    assert_eq!(asked(&outputs), [], "each would answer that it is unsure");
+    assert_eq!(asked(&outputs), [], "each would answer that it does not know");
     assert_eq!(tried(&outputs).len(), 4, "the likeliest owners are tried at once");
 }
 
 #[test]
 fn after_a_power_loss_of_the_whole_system_a_caller_is_reset_without_a_trial() {
-    let mut balancer = balancer_hearing(|_| load(FlowKnowledge::PresumedComplete, 90));
+    let mut balancer = balancer_with_reports(|_| load(FlowKnowledge::PresumedComplete, 90));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     let outputs = answer_all(&mut balancer, 95, FlowStatus::Unknown);
     assert_eq!(tried(&outputs), [], "no back end from before is running");
@@ -86,7 +86,7 @@
 
 #[test]
 fn agents_killed_together_beside_running_back_ends_are_no_power_loss() {
-    let mut balancer = balancer_hearing(|agent| match agent {
+    let mut balancer = balancer_with_reports(|agent| match agent {
         // One in five received a regular heartbeat so early that its back end seems to have just
         // started.
         1..=4 => load(FlowKnowledge::PresumedComplete, 90),
@@ -100,21 +100,21 @@
 
 #[test]
 fn back_ends_that_restart_at_different_times_are_no_power_loss() {
-    let up_ms = |agent: u8| 90 + 500 * u32::from(agent);
+    let uptime_ms = |agent: u8| 90 + 500 * u32::from(agent);
     let mut balancer =
-        balancer_hearing(|agent| load(FlowKnowledge::PresumedComplete, up_ms(agent)));
+        balancer_with_reports(|agent| load(FlowKnowledge::PresumedComplete, uptime_ms(agent)));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     let outputs = answer_all(&mut balancer, 95, FlowStatus::Unknown);
     assert_eq!(resets(&outputs), 0);
 }
 
 #[test]
-fn an_agent_that_is_killed_again_after_the_power_loss_stays_unsure() {
-    let mut balancer = balancer_hearing(|_| load(FlowKnowledge::PresumedComplete, 90));
+fn an_agent_that_is_killed_again_after_the_power_loss_stays_undecided() {
+    let mut balancer = balancer_with_reports(|_| load(FlowKnowledge::PresumedComplete, 90));
     // Three seconds later one agent's process is replaced; the balancer has its earlier report.
     run_timers(&mut balancer, 101, 3_100);
     for agent in 1..=AGENTS {
-        tell(
+        send_report(
             &mut balancer,
             milliseconds(3_100),
             agent,
@@ -130,11 +130,11 @@
         let outputs = outputs_of(&mut balancer);
         reset_count += resets(&outputs);
         for agent in asked(&outputs) {
-            let up_ms = if agent == killed { 40 } else { 3_090 };
+            let uptime_ms = if agent == killed { 40 } else { 3_090 };
             balancer.handle_peer(
                 milliseconds(at),
                 agent,
-                &encoded_answer(1, up_ms, FlowStatus::Unknown),
+                &encoded_answer(1, uptime_ms, FlowStatus::Unknown),
             );
         }
         assert!(tried(&outputs).iter().all(|agent| *agent == killed));
@@ -144,7 +144,7 @@
 
 #[test]
 fn a_machine_that_returned_without_a_back_end_and_left_does_not_block_a_lookup() {
-    let mut balancer = balancer_hearing(|agent| match agent {
+    let mut balancer = balancer_with_reports(|agent| match agent {
         3 => {
             LoadReport { condition: BackendCondition::Unknown, ..load(FlowKnowledge::Partial, 90) }
         }
@@ -174,7 +174,7 @@
 fn a_delayed_process_starts_fewer_lookups() {
     let flows = 1_000;
     let tried_flows = |delay_ms: u64| {
-        let mut balancer = balancer_hearing(|_| load(FlowKnowledge::Partial, 60_000));
+        let mut balancer = balancer_with_reports(|_| load(FlowKnowledge::Partial, 60_000));
         let mut at = 101;
         for port in 1..=flows {
             balancer.handle_caller(milliseconds(at), &packet(&request(port)));
@@ -201,7 +201,7 @@
 
 #[test]
 fn lookups_whose_callers_wait_for_an_answer_start_first() {
-    let mut balancer = balancer_hearing(|_| load(FlowKnowledge::Complete, 60_000));
+    let mut balancer = balancer_with_reports(|_| load(FlowKnowledge::Complete, 60_000));
     let silent = |port| Segment { payload_bytes: 0, ..request(port) };
     (1..=300).for_each(|port| {
         balancer.handle_caller(milliseconds(101), &packet(&silent(port)));
@@ -225,11 +225,11 @@
     BackendReport { warm_up_left: milliseconds(warm_up_left), ..report("one", sequence, true) }
 }
 
-/// The flow memory that an agent reports, which received `heard` from its back end `started_ms`
-/// after its own start.
-fn memory_after(started_ms: u64, heard: &BackendReport) -> FlowKnowledge {
+/// The flow knowledge that an agent reports which received `received` from its back end
+/// `started_ms` after its own start.
+fn flow_knowledge_after(started_ms: u64, received: &BackendReport) -> FlowKnowledge {
     let mut agent = agent(false);
-    agent.take_report(milliseconds(started_ms), heard);
+    agent.take_report(milliseconds(started_ms), received);
     agent.handle_peer(
         milliseconds(started_ms),
         balancer_address(),
@@ -245,21 +245,29 @@
 }
 
 #[test]
-fn an_agent_presumes_to_know_every_flow_of_a_cold_back_end_that_is_heard_at_once() {
+fn an_agent_presumes_to_know_every_flow_of_a_cold_back_end_that_reports_at_once() {
     let first = heartbeat(1, 2_000);
-    assert_eq!(memory_after(900, &first), FlowKnowledge::Complete, "the very first heartbeat");
-    assert_eq!(memory_after(40, &heartbeat(2, 1_950)), FlowKnowledge::PresumedComplete);
     assert_eq!(
-        memory_after(40, &heartbeat(2, 0)),
+        flow_knowledge_after(900, &first),
+        FlowKnowledge::Complete,
+        "the very first heartbeat"
+    );
+    assert_eq!(flow_knowledge_after(40, &heartbeat(2, 1_950)), FlowKnowledge::PresumedComplete);
+    assert_eq!(
+        flow_knowledge_after(40, &heartbeat(2, 0)),
         FlowKnowledge::Partial,
         "warm: it has been running before"
     );
     assert_eq!(
-        memory_after(40, &heartbeat(9, 500)),
+        flow_knowledge_after(40, &heartbeat(9, 500)),
         FlowKnowledge::Partial,
         "not one of its first heartbeats"
     );
-    assert_eq!(memory_after(900, &heartbeat(2, 1_950)), FlowKnowledge::Partial, "heard late");
+    assert_eq!(
+        flow_knowledge_after(900, &heartbeat(2, 1_950)),
+        FlowKnowledge::Partial,
+        "received late"
+    );
 }
 
 #[test]
@@ -306,7 +314,7 @@
 }
 
 #[test]
-fn a_back_end_that_was_heard_is_not_ended_by_unanswered_probes() {
+fn a_back_end_that_has_reported_is_not_ended_by_unanswered_probes() {
     let mut agent = agent(false);
     agent.take_report(milliseconds(0), &report("one", 40, true));
     agent.start_draining(milliseconds(10));
--- a/crates/carried/tests/lost_flows.rs
+++ b/crates/carried/tests/lost_flows.rs
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn an_agent_started_after_its_back_ends_first_heartbeat_reports_unsure() {
+fn an_agent_started_after_its_back_ends_first_heartbeat_reports_unknown() {
     let mut agent = agent(false);
     // Between the first heartbeat and this one, an earlier agent process may have placed flows.
     agent.take_report(milliseconds(0), &report("one", 2, true));
--- a/crates/carried/tests/store_watch.rs
+++ b/crates/carried/tests/store_watch.rs
@@ -307,19 +307,19 @@
 }
 
 #[test]
-fn a_return_of_the_store_is_counted_once() {
+fn a_recovery_of_the_store_is_counted_once() {
     let mut balancer = balancer_at(1, "a");
     balancer.note_store(milliseconds(10), true);
-    assert_eq!(balancer.store_returns(), 0);
+    assert_eq!(balancer.store_recoveries(), 0);
     balancer.note_store(milliseconds(1_000), false);
     balancer.note_store(milliseconds(2_000), false);
     balancer.note_store(milliseconds(3_000), true);
     balancer.note_store(milliseconds(4_000), true);
-    assert_eq!(balancer.store_returns(), 1);
+    assert_eq!(balancer.store_recoveries(), 1);
     // Another balancer reports the return before this one's own call is answered.
     balancer.note_store(milliseconds(5_000), false);
     let sent = Message::Heartbeat(heartbeat_of("a", None, 2));
     balancer.handle_peer(milliseconds(5_500), balancer_number(2), &sent.encode());
     balancer.note_store(milliseconds(6_000), true);
-    assert_eq!(balancer.store_returns(), 2);
+    assert_eq!(balancer.store_recoveries(), 2);
 }
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -168,12 +168,12 @@
 }
 
 /// Sends a balancer the load report of an agent in zone `a`.
-pub fn tell(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
+pub fn send_report(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
     send_load(balancer, now, agent_address(agent), report);
 }
 
 /// Sends a balancer the load report of an agent in a given zone.
-pub fn tell_from_zone(
+pub fn send_report_from_zone(
     balancer: &mut CarriedBalancer,
     now: Duration,
     agent: u8,
--- a/crates/carried/tests/wait_queue.rs
+++ b/crates/carried/tests/wait_queue.rs
@@ -219,7 +219,7 @@
 
 /// Load: requests of 50 ms on 4 slots, 80 per second, so that 104 waiting flows could be served
 /// within 1.3 s. The service rate is not known yet, so the queue holds three times as many (312):
-/// flows that wait in vain still have their callers' other two attempts.
+/// flows that get no slot still have their callers' other two attempts.
 #[test]
 fn when_too_many_wait_the_one_that_has_waited_longest_is_declined_at_once() {
     let mut agent = agent_without_room();
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -9,7 +9,7 @@
 use crate::outcome::Outcome;
 use crate::queue::EventQueue;
 use loftdrift_agent::{Agent, AgentSettings};
-use loftdrift_balancer::{Balancer, HEADROOM_BYTES, Verdict};
+use loftdrift_balancer::{Action, Balancer, HEADROOM_BYTES};
 use loftdrift_configuration::Configuration;
 use loftdrift_findings::Findings;
 use loftdrift_flow::{
@@ -392,11 +392,11 @@
         let end = HEADROOM_BYTES + datagram.len();
         buffer[HEADROOM_BYTES..end].copy_from_slice(datagram);
         match core.handle(self.now, from, &mut buffer, end) {
-            Verdict::Forward(forward) => {
+            Action::Forward(forward) => {
                 self.transmit(balancer, forward.to, buffer[forward.start..forward.end].to_vec());
             }
-            Verdict::Reply(echo) => self.transmit(balancer, from, echo.encode()),
-            Verdict::Done => {}
+            Action::Reply(echo) => self.transmit(balancer, from, echo.encode()),
+            Action::Done => {}
         }
         self.buffer = buffer;
     }
