--- a/crates/carried/src/agent/mod.rs
+++ b/crates/carried/src/agent/mod.rs
@@ -188,7 +188,7 @@
         }
     }
 
-    /// The next action for the embedder.
+    /// Takes the next action that the driver of this core has to carry out.
     pub fn take_output(&mut self) -> Option<Output> {
         self.outputs.pop_front()
     }
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -364,8 +364,7 @@
         );
     }
 
-    /// Describes the first agents that may still own the flow, with the last answer of each and the
-    /// age of its last report.
+    /// Describes the first agents that may still own the flow: last answer, age of last report.
     fn describe_blocking(&self, now: Duration, lookup: &Lookup) -> String {
         let blocking = self.known_agents().filter(|agent| !self.is_ruled_out(now, lookup, agent));
         let describe = |agent: SocketAddrV4| {
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -81,8 +81,8 @@
 /// Share of the latency target within which an agent may still queue a request. The rest is left
 /// for the network and for requests that take longer than the mean.
 const QUEUE_SHARE: f64 = 0.5;
-/// Latency target of routes that set no `aim_ms`.
-const DEFAULT_AIM: Duration = Duration::from_millis(500);
+/// Latency target of routes that set no `latency_target_ms`.
+const DEFAULT_LATENCY_TARGET: Duration = Duration::from_millis(500);
 /// Idle time after which a flow is forgotten, until a configuration sets it.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 
--- a/crates/carried/src/balancer/pending_flows.rs
+++ b/crates/carried/src/balancer/pending_flows.rs
@@ -61,8 +61,8 @@
             }
             return;
         };
-        let aim = match route.latency_target_ms {
-            0 => DEFAULT_AIM,
+        let latency_target = match route.latency_target_ms {
+            0 => DEFAULT_LATENCY_TARGET,
             milliseconds => Duration::from_millis(u64::from(milliseconds)),
         };
         if self.pending_flows.is_full() {
@@ -73,8 +73,8 @@
             return self.refuse(now, &segment, Refusal::NoRoute, None);
         };
         self.counters.openings_started += 1;
-        let wanted = Requirements { service, regions, aim, priority };
-        let number = self.pending_flows.start(now, syn, wanted);
+        let requirements = Requirements { service, regions, latency_target, priority };
+        let number = self.pending_flows.start(now, syn, requirements);
         self.advance_pending(now, number);
     }
 
@@ -111,7 +111,7 @@
         let message = Message::Offer {
             number: 0,
             service,
-            admission: Admission::Within(DEFAULT_AIM.as_millis() as u32),
+            admission: Admission::Within(DEFAULT_LATENCY_TARGET.as_millis() as u32),
             datagram: datagram.to_vec(),
         };
         self.outputs.push_back(Output::ToPeer { to: agent, message });
@@ -208,7 +208,7 @@
             (true, _) => Some(Refusal::Unanswered),
             (false, true) => Some(Refusal::Busy),
             (false, false) if is_evacuated => Some(Refusal::Unavailable),
-            (false, false) if age < pending.aim.mul_f64(RETRY_SHARE) => None,
+            (false, false) if age < pending.latency_target.mul_f64(RETRY_SHARE) => None,
             // Agents are still being discovered: the list of nodes came with the first
             // configuration.
             (false, false) if is_discovering && pending.remaining_wait(now).is_some() => None,
@@ -294,7 +294,7 @@
     /// Offers a pending flow to an agent, with the admission that the flow's state allows.
     pub(super) fn offer(&mut self, now: Duration, number: u64, agent: SocketAddrV4) {
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
-        let budget = pending.aim.mul_f64(QUEUE_SHARE).saturating_sub(pending.age(now));
+        let budget = pending.latency_target.mul_f64(QUEUE_SHARE).saturating_sub(pending.age(now));
         let budget_ms = budget.as_millis() as u32;
         let is_late = pending.is_late(now) && self.pool.is_recovering(now, &pending.service);
         let admission = match (pending.is_last_resort, pending.wants_queue) {
--- a/crates/carried/src/input_age.rs
+++ b/crates/carried/src/input_age.rs
@@ -26,7 +26,7 @@
         self.unread_since.map_or(Duration::ZERO, |unread_since| now.saturating_sub(unread_since))
     }
 
-    /// Records the end of a batch that started at `began`; `is_empty` is whether it emptied the
+    /// Records the end of a batch that started at `began`; `is_empty` is `true` if it emptied the
     /// socket.
     pub fn note_batch(&mut self, began: Duration, is_empty: bool) {
         if is_empty {
--- a/crates/carried/src/message.rs
+++ b/crates/carried/src/message.rs
@@ -209,7 +209,7 @@
     pub digest: u64,
     /// The latest confirmation known to the sender that the shared store held nothing newer.
     pub confirmation: Option<Confirmation>,
-    /// How often the shared store came back after an outage, as far as the sender knows.
+    /// How often the shared store recovered from an outage, as far as the sender knows.
     pub store_recoveries: u32,
     /// Load of the sender, if it is an agent.
     pub report: Option<LoadReport>,
--- a/crates/carried/src/pending_flow.rs
+++ b/crates/carried/src/pending_flow.rs
@@ -25,8 +25,9 @@
 const MIN_WAIT: Duration = Duration::from_millis(20);
 /// Wait queues that a flow is offered to at most: one that turns out to be full, and another.
 const MAX_WAIT_QUEUE_OFFERS: usize = 2;
-/// A request counts as late after this share of its aim, because its processing is still to come.
-const LATE_AIM_SHARE: f64 = 0.5;
+/// A request counts as late after this share of its latency target, because its processing is
+/// still to come.
+const LATE_TARGET_SHARE: f64 = 0.5;
 /// How long after the arrival of the SYN, and of each retransmission, its caller may still be
 /// reset. The caller sends the next one a little later.
 const RESET_WINDOWS: [Duration; 3] =
@@ -114,7 +115,7 @@
     /// Regions that the back end may be in; an empty list allows all.
     pub(crate) regions: Vec<String>,
     /// Response time up to which an answer has its full value.
-    pub(crate) aim: Duration,
+    pub(crate) latency_target: Duration,
     /// Priority of the flow's requests; 0 is the most urgent.
     pub(crate) priority: u8,
 }
@@ -127,7 +128,7 @@
     pub(crate) service: String,
     /// Regions that the back end may be in; an empty list allows all.
     pub(crate) regions: Vec<String>,
-    pub(crate) aim: Duration,
+    pub(crate) latency_target: Duration,
     pub(crate) priority: u8,
     pub(crate) received_at: Duration,
     /// Earliest time at which the first SYN that this balancer got can have arrived.
@@ -175,12 +176,12 @@
         may_reset_after(self.retransmission, self.last_syn_age(now))
     }
 
-    /// Whether the aim has passed, or is too close for a place in a queue.
+    /// Whether the latency target has passed, or is too close for a place in a queue.
     pub(crate) fn is_late(&self, now: Duration) -> bool {
         let sent_after = SYN_SEND_OFFSETS.get(self.segment.acknowledgement as usize);
         let sent_after =
             sent_after.copied().unwrap_or(SYN_SEND_OFFSETS[SYN_SEND_OFFSETS.len() - 1]);
-        sent_after + self.age(now) >= self.aim.mul_f64(LATE_AIM_SHARE)
+        sent_after + self.age(now) >= self.latency_target.mul_f64(LATE_TARGET_SHARE)
     }
 
     /// How long the flow may wait for room, which is as long as its caller's attempt lasts; `None`
@@ -300,13 +301,13 @@
         requirements: Requirements,
     ) -> u64 {
         let ReceivedSyn { segment, datagram, arrived_at, received_at, first_arrived_at } = syn;
-        let Requirements { service, regions, aim, priority } = requirements;
+        let Requirements { service, regions, latency_target, priority } = requirements;
         let flow = PendingFlow {
             segment,
             datagram,
             service,
             regions,
-            aim,
+            latency_target,
             priority,
             received_at,
             first_arrived_at,
--- a/crates/wire/src/inner.rs
+++ b/crates/wire/src/inner.rs
@@ -49,7 +49,7 @@
     Datagram,
 }
 
-/// What the headers of an inner packet say.
+/// The content of the headers of an inner packet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct InnerPacket {
     /// The flow, with the packet's source as caller.
