--- a/crates/carried/src/agent/condition.rs
+++ b/crates/carried/src/agent/condition.rs
@@ -90,7 +90,7 @@
             is_cold: self.is_cold(now),
             cold_allowance: self
                 .cold_allowance(now)
-                .map(|room| room.min(usize::from(u16::MAX)) as u16),
+                .map(|allowance| allowance.min(usize::from(u16::MAX)) as u16),
             backend_age_ms: backend_started_at.map(|at| message_ms(now.saturating_sub(at))),
             flow_knowledge: self.flow_knowledge(now),
             uptime_ms: is_young.then(|| message_ms(now)),
--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -147,8 +147,8 @@
             return self.reset_caller(now, number);
         }
         let Some(lookup) = self.lookups.get(number) else { return };
-        let next_ask = lookup.next_retry;
-        self.lookups.wake_at(number, next_ask.max(now));
+        let next_retry = lookup.next_retry;
+        self.lookups.wake_at(number, next_retry.max(now));
     }
 
     fn ask_agents(&mut self, now: Duration, number: u64, agents: Vec<SocketAddrV4>) {
--- a/crates/carried/src/balancer/mod.rs
+++ b/crates/carried/src/balancer/mod.rs
@@ -291,7 +291,7 @@
         if self.cluster.expire_evacuations(now) {
             self.pool.evacuate(&self.cluster.evacuated());
         }
-        self.open_unrouted(now);
+        self.start_unrouted(now);
         self.start_lookups(now);
         self.send_queries(now);
         for (peer, wants_reply) in self.cluster.membership.take_due(now) {
--- a/crates/carried/src/balancer/pending_flows.rs
+++ b/crates/carried/src/balancer/pending_flows.rs
@@ -46,11 +46,11 @@
             received_at: now,
             first_arrived_at: arrived_at,
         };
-        self.open_flow(now, syn);
+        self.start_pending(now, syn);
     }
 
     /// Starts to offer a new flow to agents.
-    pub(super) fn open_flow(&mut self, now: Duration, syn: ReceivedSyn) {
+    pub(super) fn start_pending(&mut self, now: Duration, syn: ReceivedSyn) {
         let segment = syn.segment;
         let address = segment.flow().service;
         let Some(route) = self.routes.route(&address) else {
@@ -79,9 +79,9 @@
     }
 
     /// Starts to offer flows that arrived before any configuration was known.
-    pub(super) fn open_unrouted(&mut self, now: Duration) {
+    pub(super) fn start_unrouted(&mut self, now: Duration) {
         while let Some(syn) = self.unrouted.pop(now) {
-            self.open_flow(now, syn);
+            self.start_pending(now, syn);
         }
     }
 
@@ -385,7 +385,7 @@
 
     /// Handles a due timer of a pending flow: marks unanswered offers, or drops a queued flow.
     pub(super) fn wake_pending(&mut self, now: Duration, number: u64) {
-        let is_late = self.scheduling_delay.is_delayed(now);
+        let is_delayed = self.scheduling_delay.is_delayed(now);
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
         if pending.queued_agent().is_some() {
             // The agent or its message was lost; it is not known whether the flow was placed.
@@ -400,7 +400,7 @@
             }
             offer.answer = OfferAnswer::Unanswered;
             self.counters.offers_unanswered += 1;
-            if is_late {
+            if is_delayed {
                 self.counters.unanswered_while_late += 1;
             } else if self.pool.note_unanswered(&offer.agent) {
                 self.counters.suspicions += 1;
--- a/crates/carried/src/counters.rs
+++ b/crates/carried/src/counters.rs
@@ -119,7 +119,7 @@
     pub struct CarriedAgentCounters {
         /// Offers of new flows received.
         offers_received,
-        /// Offers ignored during the admission pause after a stall.
+        /// Offers ignored because they waited in the socket during a stall.
         offers_stale,
         /// Times that the process stalled.
         standstills,
--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -279,11 +279,11 @@
     pub(crate) fn is_known_full(&self, now: Duration) -> bool {
         let capacity = u32::from(self.report.capacity);
         let is_full = u32::from(self.report.waiting) + self.offered_since_report >= capacity;
-        let is_cold_room_used = self
+        let is_cold_allowance_used = self
             .report
             .cold_allowance
-            .is_some_and(|room| self.offered_since_report >= u32::from(room));
-        (is_full || is_cold_room_used) && self.age(now) < FULL_TTL
+            .is_some_and(|allowance| self.offered_since_report >= u32::from(allowance));
+        (is_full || is_cold_allowance_used) && self.age(now) < FULL_TTL
     }
 
     /// Time since its last report.
--- a/crates/carried/tests/lookups.rs
+++ b/crates/carried/tests/lookups.rs
@@ -74,7 +74,7 @@
     settle(balancer, now)
 }
 
-/// Answers every question with the agent's answer as given by `status_of`, until no more are sent,
+/// Answers every query with the agent's answer as given by `status_of`, until no more are sent,
 /// and returns all outputs.
 fn answer_all(
     balancer: &mut CarriedBalancer,
@@ -419,7 +419,7 @@
 }
 
 #[test]
-fn the_first_questions_include_the_agent_with_which_another_balancer_placed_the_flow() {
+fn the_first_queries_include_the_agent_with_which_another_balancer_placed_the_flow() {
     const AGENTS: u8 = 200;
     let mut places = informed_balancer(AGENTS);
     for port in 1..=100 {
@@ -434,7 +434,7 @@
 }
 
 #[test]
-fn with_too_many_agents_no_caller_is_reset_and_questions_are_bounded() {
+fn with_too_many_agents_no_caller_is_reset_and_queries_are_bounded() {
     let mut balancer = new_balancer(1);
     let agent = |number: u16| {
         let [high, low] = number.to_be_bytes();
@@ -453,9 +453,9 @@
 }
 
 #[test]
-fn questions_about_many_flows_share_their_messages() {
+fn queries_about_many_flows_share_their_messages() {
     let mut balancer = informed_balancer(3);
-    // The first question is sent at once; the others wait for the next batch.
+    // The first query is sent at once; the others wait for the next batch.
     receive(&mut balancer, milliseconds(1), &data(1_000, 101, 501));
     for port in 1..=100 {
         balancer.handle_caller(milliseconds(3), &packet(&data(port, 101, 501)));
--- a/crates/carried/tests/lookups_after_restart.rs
+++ b/crates/carried/tests/lookups_after_restart.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn agents_that_may_have_lost_flows_are_tried_without_a_question() {
+fn agents_that_may_have_lost_flows_are_tried_without_a_query() {
     let mut balancer = balancer_with_reports(|_| load(FlowKnowledge::Partial, 60_000));
     balancer.handle_caller(milliseconds(101), &packet(&request(1)));
     balancer.handle_timeout(milliseconds(101));
@@ -212,7 +212,7 @@
         balancer.handle_timeout(milliseconds(at));
         for output in outputs_of(&mut balancer) {
             if let Output::ToPeer { message: Message::Lookup { queries }, .. } = output {
-                order.extend(queries.iter().map(|question| question.flow.caller.port()));
+                order.extend(queries.iter().map(|query| query.flow.caller.port()));
             }
         }
     }
