--- a/crates/carried/src/backend.rs
+++ b/crates/carried/src/backend.rs
@@ -66,7 +66,7 @@
 /// - Delayed heartbeats never revoke the leaving state of the live start.
 /// - What a start has reported applies to that start only: a later start under the same id begins
 ///   with fresh state and is accepted at its first heartbeat.
-/// - The service is the one from the settings, whatever a heartbeat says.
+/// - The service is the one from the settings, whatever a heartbeat names.
 #[derive(Debug)]
 pub(crate) struct Backend {
     service: String,
--- a/crates/carried/src/balancer/audit.rs
+++ b/crates/carried/src/balancer/audit.rs
@@ -74,8 +74,8 @@
         self.next
     }
 
-    /// Whether, since the last check, the store has recovered from an outage or was restored from an
-    /// older copy: then entries may be lost even if no node noticed an outage.
+    /// Whether, since the last check, the store has recovered from an outage or was restored from
+    /// an older copy: then entries may be lost even if no node noticed an outage.
     fn note_recoveries(&mut self, recoveries: u32, era: u64) -> bool {
         let has_recovered = std::mem::replace(&mut self.recoveries, recoveries) != recoveries;
         let before = std::mem::replace(&mut self.era, era);
--- a/crates/carried/src/balancer/flow_absence.rs
+++ b/crates/carried/src/balancer/flow_absence.rs
@@ -183,7 +183,8 @@
     }
 
     /// Whether an agent is presumed gone and owns no flow any more: it has answered no node for so
-    /// long that it will not return, or the whole system has restarted and it has sent nothing since.
+    /// long that it will not return, or the whole system has restarted and it has sent nothing
+    /// since.
     pub(super) fn is_gone(&self, now: Duration, agent: &SocketAddrV4) -> bool {
         let view = self.pool.view(agent);
         // A delayed process may not have read yet what live agents have sent.
--- a/crates/carried/src/membership.rs
+++ b/crates/carried/src/membership.rs
@@ -2,8 +2,8 @@
 //!
 //! A node keeps sending heartbeats to every node that it has learned of, so that one that restarts
 //! without any state receives heartbeats of the others within an interval. The interval grows with
-//! the number of peers: a node's heartbeats never take more than a fixed number of bytes per second.
-//! In large systems the data path shows which agents respond.
+//! the number of peers: a node's heartbeats never take more than a fixed number of bytes per
+//! second. In large systems the data path shows which agents respond.
 //!
 //! Each pair of nodes has its own phase within the interval. Otherwise nodes that start together
 //! would send to all peers at one moment and be silent until the next one: with 986 nodes for 30 s,
--- a/crates/carried/src/pool.rs
+++ b/crates/carried/src/pool.rs
@@ -223,8 +223,8 @@
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, agent)| agent)
     }
 
-    /// The suspect agent of a service with the newest report, among those whose last report says that
-    /// they take new flows: a last resort.
+    /// The suspect agent of a service with the newest report, among those whose last report says
+    /// that they take new flows: a last resort.
     pub(crate) fn suspect(
         &self,
         now: Duration,
--- a/crates/carried/tests/late_heartbeats.rs
+++ b/crates/carried/tests/late_heartbeats.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_start_that_reports_leaving_gets_no_new_flows_even_while_doubted() {
+fn a_start_that_reports_leaving_gets_no_new_flows_even_while_unconfirmed() {
     let mut agent = agent(false);
     receive(&mut agent, 10, "crashed", 37, true);
     assert!(takes_flows(&mut agent, 11, 1));
--- a/crates/carried/tests/lost_flows.rs
+++ b/crates/carried/tests/lost_flows.rs
@@ -57,11 +57,7 @@
     let mut agent = agent_with_flow();
     agent.take_report(milliseconds(50), &report("two", 1, true));
     agent.handle_peer(milliseconds(100), balancer_address(), &lookup(1, 501));
-    assert_eq!(
-        outputs(&mut agent),
-        [replies(1, FlowStatus::Unknown)],
-        "only the back end can tell"
-    );
+    assert_eq!(outputs(&mut agent), [replies(1, FlowStatus::Unknown)], "only the back end knows");
     let tried = Message::TryForward { datagram: packet(&data(1, 101, 501)) }.encode();
     agent.handle_peer(milliseconds(101), balancer_address(), &tried);
     assert_eq!(sent_to_backend(&outputs(&mut agent)), 1);
--- a/crates/carried/tests/wait_queue.rs
+++ b/crates/carried/tests/wait_queue.rs
@@ -236,7 +236,7 @@
 /// answered in time do in an overload, and nothing is served from the queue. Once that rate is
 /// known, the queue is short, and each new flow has another one declined at once.
 #[test]
-fn in_a_lasting_overload_few_flows_wait_in_vain() {
+fn in_a_lasting_overload_few_flows_wait_without_getting_a_slot() {
     let mut agent = agent_without_room();
     let mut at_once = 0;
     for at in 2..3_500 {
--- a/crates/carried/tests/wait_queue_at_balancer.rs
+++ b/crates/carried/tests/wait_queue_at_balancer.rs
@@ -66,8 +66,11 @@
 fn a_flow_without_room_waits_at_one_agent_and_its_caller_is_not_reset() {
     let mut balancer = balancer_with(3);
     balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
-    let (agent, number, patience) = decline_until_wait_queue(&mut balancer, 2);
-    assert!((1_250..=1_320).contains(&patience), "{patience} of the 1.4 s of an attempt");
+    let (agent, number, remaining_ms) = decline_until_wait_queue(&mut balancer, 2);
+    assert!(
+        (1_250..=1_320).contains(&remaining_ms),
+        "{remaining_ms} ms of the 1.4 s of an attempt"
+    );
     let queued = Message::Queued { number, report: load(8) };
     balancer.handle_peer(milliseconds(3), agent, &queued.encode());
     for at in 3..1_200 {
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -24,7 +24,7 @@
     GetSnapshot(oneshot::Sender<Snapshot>),
     /// Reply with the core's metrics.
     GetMetrics(oneshot::Sender<CoreMetrics>),
-    /// Apply a heartbeat of the back end. The reply says what it changed, once that is in force.
+    /// Apply a heartbeat of the back end. The reply reports what it changed, once that is in force.
     BackendReport(BackendReport, oneshot::Sender<ReportOutcome>),
     /// The back end is leaving or has ended. The reply is sent once this is in force.
     BackendDeparture(Incarnation, oneshot::Sender<()>),
--- a/crates/node/src/shared_store.rs
+++ b/crates/node/src/shared_store.rs
@@ -113,7 +113,7 @@
     ) -> impl Future<Output = Result<OperatorState, StoreFailure>> + Send;
 
     /// Waits up to `timeout` for operators to write something after a position. The answer may be
-    /// of another era; then it says nothing about changes after that position.
+    /// of another era; then it has no information about changes after that position.
     fn wait_for_change(
         &self,
         after: Position,
