--- a/crates/carried/src/view.rs
+++ b/crates/carried/src/view.rs
@@ -44,8 +44,8 @@
 
 impl StartTime {
     /// Start time of a process that at `now` reports how many milliseconds it has run.
-    pub(crate) fn from_uptime(now: Duration, up_ms: u32) -> Self {
-        StartTime(i64::try_from(now.as_millis()).unwrap_or(i64::MAX) - i64::from(up_ms))
+    pub(crate) fn from_uptime(now: Duration, uptime_ms: u32) -> Self {
+        StartTime(i64::try_from(now.as_millis()).unwrap_or(i64::MAX) - i64::from(uptime_ms))
     }
 
     /// Time between two starts.
@@ -215,7 +215,7 @@
     }
 
     /// How complete the agent's knowledge of its back end's flows is, as the agent itself reports.
-    pub(crate) fn memory(&self) -> FlowKnowledge {
+    pub(crate) fn flow_knowledge(&self) -> FlowKnowledge {
         self.report.flow_knowledge
     }
 
@@ -279,11 +279,11 @@
     pub(crate) fn is_known_full(&self, now: Duration) -> bool {
         let capacity = u32::from(self.report.capacity);
         let is_full = u32::from(self.report.waiting) + self.offered_since_report >= capacity;
-        let is_cold_room_used = self
+        let is_cold_allowance_used = self
             .report
             .cold_allowance
-            .is_some_and(|room| self.offered_since_report >= u32::from(room));
-        (is_full || is_cold_room_used) && self.age(now) < FULL_TTL
+            .is_some_and(|allowance| self.offered_since_report >= u32::from(allowance));
+        (is_full || is_cold_allowance_used) && self.age(now) < FULL_TTL
     }
 
     /// Time since its last report.
--- a/crates/carried/tests/wait_queue.rs
+++ b/crates/carried/tests/wait_queue.rs
@@ -219,7 +219,7 @@
 
 /// Load: requests of 50 ms on 4 slots, 80 per second, so that 104 waiting flows could be served
 /// within 1.3 s. The service rate is not known yet, so the queue holds three times as many (312):
-/// flows that wait in vain still have their callers' other two attempts.
+/// flows that get no slot still have their callers' other two attempts.
 #[test]
 fn when_too_many_wait_the_one_that_has_waited_longest_is_declined_at_once() {
     let mut agent = agent_without_room();
@@ -236,7 +236,7 @@
 /// answered in time do in an overload, and nothing is served from the queue. Once that rate is
 /// known, the queue is short, and each new flow has another one declined at once.
 #[test]
-fn in_a_lasting_overload_few_flows_wait_in_vain() {
+fn in_a_lasting_overload_few_flows_wait_without_getting_a_slot() {
     let mut agent = agent_without_room();
     let mut at_once = 0;
     for at in 2..3_500 {
