--- a/crates/app/src/agent_process.rs
+++ b/crates/app/src/agent_process.rs
@@ -23,7 +23,7 @@
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 /// Datagrams read before the driver checks its other inputs again.
-const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const DATAGRAMS_PER_BATCH: usize = 64;
 const BACKEND_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
 
@@ -48,7 +48,7 @@
 pub async fn run(task: AgentTask) -> Result<()> {
     let name = format!("agent {}", task.settings.backend);
     let (event_sender, events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
-    let (watch_report_sender, watch_reports) = mpsc::channel(1);
+    let (health_check_sender, health_check_reports) = mpsc::channel(1);
     let driver = AgentDriver {
         socket: task.socket,
         core: Agent::new(task.settings)?,
@@ -56,13 +56,13 @@
         started: Instant::now(),
         flow_tasks: HashMap::new(),
         event_sender,
-        watch_report_sender,
-        backend_watch: JoinSet::new(),
+        health_check_sender,
+        health_check_task: JoinSet::new(),
     };
     driver
         .run(
             task.drain_timeout,
-            Inputs { events, watch_reports },
+            Inputs { events, health_check_reports },
             task.configuration,
             task.stop,
             task.counters,
@@ -74,13 +74,13 @@
 /// Reports from the tasks that the driver spawned.
 struct Inputs {
     events: mpsc::Receiver<FlowSocketEvent>,
-    /// Whether the back end accepts connections.
-    watch_reports: mpsc::Receiver<bool>,
+    /// Results of the health check: whether the back end accepts connections.
+    health_check_reports: mpsc::Receiver<bool>,
 }
 
-/// Holds an idle connection to the back end open. Reports `true` once it is accepted and `false`
-/// when it cannot be opened or has closed.
-async fn hold_backend_connection(server: SocketAddrV4, reports: mpsc::Sender<bool>) {
+/// Checks the back end's health by holding an idle connection open. Reports `true` once it is
+/// accepted and `false` when it cannot be opened or has closed.
+async fn run_health_check(server: SocketAddrV4, reports: mpsc::Sender<bool>) {
     let connected = tokio::time::timeout(BACKEND_CONNECT_TIMEOUT, TcpStream::connect(server)).await;
     if let Ok(Ok(mut stream)) = connected {
         if reports.send(true).await.is_err() {
@@ -101,9 +101,9 @@
     started: Instant,
     flow_tasks: HashMap<FlowId, CommandSender>,
     event_sender: mpsc::Sender<FlowSocketEvent>,
-    watch_report_sender: mpsc::Sender<bool>,
-    /// Contains the single task that holds the idle connection to the back end.
-    backend_watch: JoinSet<()>,
+    health_check_sender: mpsc::Sender<bool>,
+    /// Contains the single task that runs the health check.
+    health_check_task: JoinSet<()>,
 }
 
 impl AgentDriver {
@@ -131,7 +131,7 @@
                     let now = self.started.elapsed();
                     self.core.handle_socket(now, event.flow, event.event);
                 }
-                Some(accepts) = inputs.watch_reports.recv() => {
+                Some(accepts) = inputs.health_check_reports.recv() => {
                     self.core.handle_health_check(self.started.elapsed(), accepts);
                 }
                 () = sleep_until(timeout) => self.core.handle_timeout(self.started.elapsed()),
@@ -143,10 +143,7 @@
                     drain_deadline = Some(Instant::now() + drain_timeout);
                 }
                 () = sleep_until(drain_deadline) => {
-                    log::warn!(
-                        flows = self.core.flow_count();
-                        "drain timeout expired; stopping with open flows"
-                    );
+                    log::warn!(flows = self.core.flow_count(); "stopping with flows left");
                     self.lifecycle.step(ProcessEvent::Drained);
                 }
             }
@@ -169,13 +166,13 @@
         let now = self.started.elapsed();
         if self.core.adopt(now, &newest) && self.core.is_placed() {
             let version = newest.version;
-            log::info!(revision = version.revision; "applied configuration {version}");
+            log::info!(revision = version.revision; "configuration {version} in force");
             self.lifecycle.step(ProcessEvent::Configured);
         }
     }
 
     fn receive(&mut self, buffer: &mut [u8]) {
-        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
+        for _ in 0..DATAGRAMS_PER_BATCH {
             let Ok((length, SocketAddr::V4(from))) = self.socket.try_recv_from(buffer) else {
                 return;
             };
@@ -206,9 +203,9 @@
                     }
                 }
                 Output::OpenHealthCheck { server } => {
-                    self.backend_watch.abort_all();
-                    self.backend_watch
-                        .spawn(hold_backend_connection(server, self.watch_report_sender.clone()));
+                    self.health_check_task.abort_all();
+                    self.health_check_task
+                        .spawn(run_health_check(server, self.health_check_sender.clone()));
                 }
                 Output::Ended { flow } => {
                     self.flow_tasks.remove(&flow);
--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -17,12 +17,12 @@
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
 /// Datagrams read before the driver checks its other inputs again.
-const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const DATAGRAMS_PER_BATCH: usize = 64;
 const PROBE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Consecutive probes without a reply after which an agent is considered dead.
-const MAX_PROBE_MISSES: u32 = 3;
+const MAX_MISSED_PROBES: u32 = 3;
 
 /// Resources and settings of a balancer's task.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     let probe_settings = ProbeSettings {
         interval: PROBE_INTERVAL,
         timeout: PROBE_TIMEOUT,
-        miss_threshold: MAX_PROBE_MISSES,
+        miss_threshold: MAX_MISSED_PROBES,
         max_per_second: task.probes_per_second,
     };
     let driver = BalancerDriver {
@@ -117,13 +117,13 @@
         let Some(newest) = newest else { return };
         if self.core.adopt(self.started.elapsed(), &newest) {
             let version = newest.version;
-            log::info!(revision = version.revision; "applied configuration {version}");
+            log::info!(revision = version.revision; "configuration {version} in force");
             self.lifecycle.step(ProcessEvent::Configured);
         }
     }
 
     async fn receive(&mut self) {
-        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
+        for _ in 0..DATAGRAMS_PER_BATCH {
             let space = &mut self.buffer[HEADROOM_BYTES..];
             let Ok((length, SocketAddr::V4(from))) = self.socket.try_recv_from(space) else {
                 return;
--- a/crates/app/src/ctl.rs
+++ b/crates/app/src/ctl.rs
@@ -83,7 +83,7 @@
         let reply = match store.send(&request).await {
             Ok(reply) => reply,
             Err(error) => {
-                log::warn!(error:% = error; "request to the key-value store failed");
+                log::warn!(error:% = error; "store gave no answer");
                 let jitter = rand::rng().random_range(0.5..1.5);
                 tokio::time::sleep(backoff.mul_f64(jitter)).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
--- a/crates/app/src/demo/cluster.rs
+++ b/crates/app/src/demo/cluster.rs
@@ -126,7 +126,7 @@
     fabric: SocketAddrV4,
     store: StoreClient,
     /// The key-value store clients of balancers and agents, kept to count their traffic.
-    daemon_stores: Vec<StoreClient>,
+    node_stores: Vec<StoreClient>,
     started: Instant,
     listen_addresses: BTreeMap<&'static str, SocketAddrV4>,
     balancers: Vec<RunningBalancer>,
@@ -162,7 +162,7 @@
             platform,
             fabric,
             store: StoreClient::new(platform.into()),
-            daemon_stores: Vec::new(),
+            node_stores: Vec::new(),
             started: Instant::now(),
             listen_addresses,
             balancers: Vec::new(),
@@ -253,9 +253,9 @@
         AbortHandle,
     ) {
         let store = StoreClient::new(self.platform.into());
-        self.daemon_stores.push(store.clone());
+        self.node_stores.push(store.clone());
         let (published, configuration) = watch::channel(None);
-        let seed = self.seed.wrapping_add(self.daemon_stores.len() as u64);
+        let seed = self.seed.wrapping_add(self.node_stores.len() as u64);
         let follower_task = self.tasks.spawn(async move {
             loftdrift_store::follow_configuration(store, seed, published).await;
             Ok(())
@@ -424,8 +424,8 @@
 
     /// Flows opened on the drained back end after it had to stop getting new ones.
     pub(super) fn opened_after_drain(&self) -> u64 {
-        let noted = self.drain_baseline;
-        noted.map_or(0, |noted| self.drained_backend_flows_opened().saturating_sub(noted))
+        let baseline = self.drain_baseline;
+        baseline.map_or(0, |count| self.drained_backend_flows_opened().saturating_sub(count))
     }
 
     /// How often each request ran, over all back ends, by request ID.
@@ -444,13 +444,13 @@
 
     /// Mean traffic per balancer or agent for configuration and probes, in bytes per second.
     pub(super) fn control_bytes_per_second(&self) -> f64 {
-        let stores: u64 = self.daemon_stores.iter().map(StoreClient::bytes).sum();
+        let stores: u64 = self.node_stores.iter().map(StoreClient::bytes).sum();
         let balancers = self.balancers.iter().map(|balancer| &balancer.counters);
         let agents = self.backends.iter().map(|backend| &backend.counters);
         let echoes = balancers.chain(agents);
         let echoes: u64 = echoes.map(|counters| metrics::value(counters, "control_bytes")).sum();
         let seconds = self.started.elapsed().as_secs_f64();
-        (stores + echoes) as f64 / self.daemon_stores.len() as f64 / seconds
+        (stores + echoes) as f64 / self.node_stores.len() as f64 / seconds
     }
 }
 
--- a/crates/app/src/demo/mod.rs
+++ b/crates/app/src/demo/mod.rs
@@ -89,7 +89,8 @@
     let executions = cluster.executions().await?;
     let report = Report::new(&stats, &cluster, &executions, elapsed);
     println!("{}", report.render(settings.format));
-    let code = if report.promises_held() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) };
+    let code =
+        if report.guarantees_held() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAILED) };
     Ok(code)
 }
 
--- a/crates/app/src/demo/report.rs
+++ b/crates/app/src/demo/report.rs
@@ -91,7 +91,7 @@
             && answered == self.requests_sent
     }
 
-    pub(super) fn promises_held(&self) -> bool {
+    pub(super) fn guarantees_held(&self) -> bool {
         self.promises_held
     }
 
--- a/crates/app/tests/processes.rs
+++ b/crates/app/tests/processes.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_large_body_arrives_whole_while_balancers_come_and_go() {
+fn a_large_body_arrives_complete_while_balancers_start_and_stop() {
     const BYTES: usize = 20_000_000;
     let mut cluster = Cluster::start(3, 2);
     let port = cluster.service_port();
--- a/crates/bench/benches/forwarding.rs
+++ b/crates/bench/benches/forwarding.rs
@@ -16,7 +16,7 @@
 /// Packets in flight at a time: few enough that no socket buffer overflows.
 const WINDOW_PACKETS: usize = 64;
 const ROUNDS: usize = 9;
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
+const DATAGRAMS_PER_BATCH: usize = 64;
 
 async fn bind() -> UdpSocket {
     UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port")
@@ -34,7 +34,7 @@
     let mut buffer = vec![0; 65_535];
     loop {
         socket.readable().await.expect("a socket");
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..DATAGRAMS_PER_BATCH {
             let Ok((length, _)) = socket.try_recv_from(&mut buffer) else {
                 break;
             };
--- a/crates/configuration/src/commit.rs
+++ b/crates/configuration/src/commit.rs
@@ -163,7 +163,7 @@
     /// Returns a conflict if a service that the script changes was changed since the first read.
     fn conflict(&self, current: &Configuration) -> Option<CommitOutcome> {
         let first_read = self.first_read.as_ref()?;
-        for name in self.touched_services(current) {
+        for name in self.changed_services(current) {
             let before = first_read.services.get(&name);
             let now = current.services.get(&name);
             if before != now {
@@ -175,7 +175,7 @@
     }
 
     /// Names of the services that the script changes.
-    fn touched_services(&self, current: &Configuration) -> Vec<String> {
+    fn changed_services(&self, current: &Configuration) -> Vec<String> {
         let service_of = |backend: &str| {
             let mut services = current.services.iter();
             let found = services.find(|(_, service)| service.backends.contains_key(backend));
--- a/crates/lab/src/assigner.rs
+++ b/crates/lab/src/assigner.rs
@@ -84,7 +84,7 @@
 
 /// Mean imbalance of each service under an assigner that always knows the current loads: the
 /// reference that a run is compared with.
-pub(crate) fn all_knowing_imbalance(log: &FlowLog, scenario: &Scenario) -> Vec<f64> {
+pub(crate) fn ideal_imbalance_per_service(log: &FlowLog, scenario: &Scenario) -> Vec<f64> {
     let services: Vec<usize> = log.flows.iter().map(|flow| flow.service).collect();
     let samples = replay(log, scenario, |index, members, loads| {
         least_loaded(services[index], members, loads)
--- a/crates/lab/src/bin/loftdrift-lab.rs
+++ b/crates/lab/src/bin/loftdrift-lab.rs
@@ -42,7 +42,7 @@
 exit codes: 0 success, 1 a check failed, 2 invalid usage or unreadable file
 ";
 
-const EXIT_MISSED: u8 = 1;
+const EXIT_CHECK_FAILED: u8 = 1;
 const EXIT_USAGE: u8 = 2;
 const DEFAULT_TIMELINES: u64 = 1_000;
 const DEFAULT_STEP_MS: i64 = 100;
@@ -102,18 +102,18 @@
         bail!("--balancers 0: at least one balancer is needed");
     }
     let bar = progress(seeds.end.saturating_sub(seeds.start));
-    let (mut runs, mut asked, mut served) = (0_u64, 0, 0);
+    let (mut runs, mut requests, mut served) = (0_u64, 0, 0);
     for seed in seeds {
         let faults = random_faults_with_evacuations(seed, settings.balancers, settings.backends);
         let outcome = CarriedWorld::new(CarriedWorldSettings { seed, ..settings }, &faults).run();
         if !outcome.keeps_invariants() {
             println!("seed {seed} violates a rule: {outcome:?}\n{faults:#?}");
-            return Ok(ExitCode::from(EXIT_MISSED));
+            return Ok(ExitCode::from(EXIT_CHECK_FAILED));
         }
-        (runs, asked, served) = (runs + 1, asked + outcome.requests, served + outcome.served);
+        (runs, requests, served) = (runs + 1, requests + outcome.requests, served + outcome.served);
         bar.inc(1);
     }
-    println!("{runs} runs, none violated a rule; {served} of {asked} requests served");
+    println!("{runs} runs, none violated a rule; {served} of {requests} requests served");
     Ok(ExitCode::SUCCESS)
 }
 
@@ -238,7 +238,7 @@
         let rate = packets as f64 / elapsed.as_secs_f64();
         println!("{:.1} s, {rate:.0} simulated datagrams a second", elapsed.as_secs_f64());
     }
-    Ok(if missed { ExitCode::from(EXIT_MISSED) } else { ExitCode::SUCCESS })
+    Ok(if missed { ExitCode::from(EXIT_CHECK_FAILED) } else { ExitCode::SUCCESS })
 }
 
 /// Prints a report; returns whether an expected result was missed.
@@ -325,10 +325,10 @@
     let missed = show_report(&trace.plan.scenario, &report, false)?;
     if report != trace.report {
         println!("MISSED: the results differ from the recorded ones:\n{}", trace.report.summary());
-        return Ok(ExitCode::from(EXIT_MISSED));
+        return Ok(ExitCode::from(EXIT_CHECK_FAILED));
     }
     println!("the results are the recorded ones");
-    Ok(if missed { ExitCode::from(EXIT_MISSED) } else { ExitCode::SUCCESS })
+    Ok(if missed { ExitCode::from(EXIT_CHECK_FAILED) } else { ExitCode::SUCCESS })
 }
 
 fn explore_command(mut arguments: Arguments) -> Result<ExitCode> {
@@ -364,5 +364,5 @@
         smallest.seed,
         smallest.violations.join("; ")
     );
-    Ok(ExitCode::from(EXIT_MISSED))
+    Ok(ExitCode::from(EXIT_CHECK_FAILED))
 }
--- a/crates/lab/src/carried/caller.rs
+++ b/crates/lab/src/carried/caller.rs
@@ -74,7 +74,7 @@
     /// Flows opened after the first one.
     flow_count: u32,
     /// When the current state's timer expires.
-    wakes_at: Duration,
+    timer_expires_at: Duration,
 }
 
 impl Caller {
@@ -98,7 +98,7 @@
             request_index: 0,
             bytes_sent: 0,
             flow_count: 0,
-            wakes_at: now,
+            timer_expires_at: now,
         }
     }
 
@@ -128,7 +128,7 @@
 
     /// Handles a timer at `now`. A timer of an earlier state does nothing.
     pub(super) fn wake(&mut self, now: Duration) -> CallerStep {
-        if self.is_over() || now < self.wakes_at {
+        if self.is_over() || now < self.timer_expires_at {
             return CallerStep::default();
         }
         if let CallerState::Idle { sequence } = self.state {
@@ -165,12 +165,12 @@
         let segment = Segment { syn: true, sequence, acknowledgement: syns_sent as u32, ..head };
         self.state = CallerState::Connecting { syns_sent: syns_sent + 1 };
         let next = SYN_RETRANSMIT_MS.get(syns_sent).map(|ms| Duration::from_millis(*ms));
-        let wakes_at = self.attempt_started + next.unwrap_or(CONNECT_TIMEOUT);
-        self.wait_until(wakes_at, Some(PlainFormat::write(&segment, &[])))
+        let timer_expires_at = self.attempt_started + next.unwrap_or(CONNECT_TIMEOUT);
+        self.wait_until(timer_expires_at, Some(PlainFormat::write(&segment, &[])))
     }
 
     fn wait_until(&mut self, at: Duration, packet: Option<Vec<u8>>) -> CallerStep {
-        self.wakes_at = at;
+        self.timer_expires_at = at;
         CallerStep { packet, wake_at: Some(at), ..CallerStep::default() }
     }
 
@@ -282,9 +282,9 @@
             return CallerStep::default();
         }
         if matches!(self.state, CallerState::Idle { .. }) {
-            self.begin_request(self.wakes_at);
+            self.begin_request(self.timer_expires_at);
             self.open_new_flow(address);
-            return self.wait_until(self.wakes_at, None);
+            return self.wait_until(self.timer_expires_at, None);
         }
         self.bytes_sent = 0;
         self.retransmissions = 0;
--- a/crates/lab/src/carried/outcome.rs
+++ b/crates/lab/src/carried/outcome.rs
@@ -17,7 +17,7 @@
     /// Requests without an answer at their deadline, or whose flow was reset and not retried.
     pub lost: u64,
     /// Reads of the node list or the configuration from the shared store.
-    pub store_calls: u64,
+    pub store_reads: u64,
     /// Agents that balancers suspected to have failed, counted in each balancer's last process.
     pub suspicions: u64,
     /// Longest time after a change at which a running, reachable node did not have it yet.
@@ -50,12 +50,12 @@
             refused,
             failed,
             lost,
-            store_calls,
+            store_reads,
             suspicions,
             max_propagation,
             ..
         } = *self;
         let kept = CarriedOutcome { requests, served, refused, failed, lost, ..Default::default() };
-        *self == CarriedOutcome { store_calls, suspicions, max_propagation, ..kept }
+        *self == CarriedOutcome { store_reads, suspicions, max_propagation, ..kept }
     }
 }
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -50,7 +50,7 @@
 /// A process that was frozen for longer than this is notified when it resumes.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 const MAX_FLOW_AGE: Duration = Duration::from_secs(60);
-const TARGET_LATENCY_MS: u32 = 200;
+const LATENCY_TARGET_MS: u32 = 200;
 const ZONES: usize = 3;
 const SERVICES: [&str; 2] = ["tiles", "sheets"];
 /// Requests on one flow of a caller that keeps it open.
@@ -360,7 +360,7 @@
     let route = |number: usize, service: &str| Route {
         address: service_address(number),
         targets: vec![RouteTarget { service: service.to_owned(), weight: 1 }],
-        latency_target_ms: TARGET_LATENCY_MS,
+        latency_target_ms: LATENCY_TARGET_MS,
         priority: 1,
         regions: Vec::new(),
     };
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -244,7 +244,7 @@
 
     /// Reads the list of nodes from the store.
     fn read_members(&mut self, node: usize) {
-        self.outcome.store_calls += 1;
+        self.outcome.store_reads += 1;
         // A node writes its own entry before it reads the list.
         self.store.write_entry(self.now);
         let uptime = self.nodes[node].uptime(self.now);
@@ -265,7 +265,7 @@
 
     /// Reads the configuration from the store.
     fn read_configuration(&mut self, node: usize) {
-        self.outcome.store_calls += 1;
+        self.outcome.store_reads += 1;
         let answers = self.store_answers(node);
         let uptime = self.nodes[node].uptime(self.now);
         let configuration = self.store.read();
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -5,7 +5,7 @@
 use super::*;
 
 /// Datagrams read from one socket before the driver moves on, as in the balancer's driver.
-const MAX_DATAGRAMS_PER_TURN: usize = 32;
+const DATAGRAMS_PER_BATCH: usize = 32;
 /// Messages of nodes processed before due timers run, as in the balancer's driver.
 const MAX_PEER_DATAGRAMS_BEFORE_TIMERS: usize = 512;
 /// Datagrams that a socket buffer holds, about as many as one of 1 MB; further ones are dropped.
@@ -79,7 +79,7 @@
         }
         self.nodes[node].inbox.is_turn_scheduled = false;
         let started = self.now;
-        self.process_peers(node, MAX_DATAGRAMS_PER_TURN);
+        self.process_peers(node, DATAGRAMS_PER_BATCH);
         self.process_callers(node);
         if self.is_timer_due(node) {
             self.process_peers(node, MAX_PEER_DATAGRAMS_BEFORE_TIMERS);
@@ -115,7 +115,7 @@
     fn process_callers(&mut self, node: usize) {
         let started = self.now;
         self.note_input_age(node, self.nodes[node].inbox.input_age.max_wait(started));
-        for _ in 0..MAX_DATAGRAMS_PER_TURN {
+        for _ in 0..DATAGRAMS_PER_BATCH {
             let Some(packet) = self.nodes[node].inbox.caller_queue.pop_front() else {
                 return self.nodes[node].inbox.input_age.note_batch(started, true);
             };
--- a/crates/lab/src/run.rs
+++ b/crates/lab/src/run.rs
@@ -1,6 +1,6 @@
 //! Runs a plan in a simulated world and reports the results.
 
-use crate::assigner::{all_knowing_imbalance, mean};
+use crate::assigner::{ideal_imbalance_per_service, mean};
 use crate::backend::BackendBehaviour;
 use crate::caller::CallerBehaviour;
 use crate::flow_log::{FlowLog, FlowSpan, Members};
@@ -353,7 +353,7 @@
         packets: *requests,
     });
     let log = FlowLog { flows: flows.collect(), members: shared.members.clone() };
-    let ideal_imbalance = all_knowing_imbalance(&log, &plan.scenario);
+    let ideal_imbalance = ideal_imbalance_per_service(&log, &plan.scenario);
     let services = shared.scenario.services.iter().enumerate().map(|(index, service)| {
         let samples = &shared.samples[index];
         ServiceReport {
--- a/crates/lab/tests/carried.rs
+++ b/crates/lab/tests/carried.rs
@@ -48,14 +48,14 @@
 }
 
 #[test]
-fn an_agent_that_is_killed_beside_its_back_end_forgets_no_open_flow() {
+fn killing_an_agent_while_its_back_end_runs_loses_no_open_flow() {
     let kills =
         [(3.0, Fault::KillAgent(0, seconds(0.1))), (6.0, Fault::KillAgent(1, seconds(0.1)))];
     assert_no_violations(run_with_faults(&kills), 0.995);
 }
 
 #[test]
-fn with_the_store_away_balancers_that_start_learn_everything_from_agents() {
+fn balancers_that_start_during_a_store_outage_get_all_state_from_agents() {
     let faults = [
         (3.0, Fault::MoveRoute),
         (4.0, Fault::StoreDown(seconds(8.0))),
@@ -68,12 +68,12 @@
 }
 
 #[test]
-fn after_all_were_killed_everything_comes_back() {
+fn the_system_recovers_after_all_processes_are_killed() {
     assert_no_violations(run_with_faults(&[(6.0, Fault::KillAll(seconds(0.3)))]), 0.95);
 }
 
 #[test]
-fn a_route_that_moves_while_nodes_freeze_is_followed_everywhere_in_time() {
+fn a_route_change_while_nodes_are_frozen_takes_effect_everywhere_in_time() {
     let faults = [
         (3.0, Fault::FreezeBalancer(0, seconds(3.0))),
         (3.5, Fault::MoveRoute),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn back_ends_that_leave_during_a_cut_take_nothing_late() {
+fn back_ends_that_leave_during_a_partition_accept_no_late_flow() {
     let faults = [
         (3.0, Fault::IsolateAgent(0, seconds(4.0))),
         (3.2, Fault::ReplaceBackend(0)),
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_configuration_comes_into_force_though_the_store_refuses_every_balancer() {
+fn a_configuration_takes_effect_although_the_store_refuses_every_balancer() {
     let faults = [
         (3.0, Fault::RefuseBalancers(seconds(12.0))),
         (4.0, Fault::MoveRoute),
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn after_a_loss_of_all_power_callers_hear_that_their_flows_are_over() {
+fn callers_learn_of_lost_flows_after_a_complete_power_loss() {
     let outcome = run_with_faults(&[(6.0, Fault::PowerOff(seconds(0.4)))]);
     assert!(outcome.keeps_invariants(), "{outcome:?}");
     // Only requests in progress whose callers do not retry; callers with several requests do.
--- a/crates/lab/tests/dissemination.rs
+++ b/crates/lab/tests/dissemination.rs
@@ -42,8 +42,8 @@
     for (balancers, backends) in [(10, 20), (100, 200)] {
         let outcome = run_change(balancers, backends, 1);
         assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
-        let took = outcome.max_propagation;
-        assert!(took <= MAX_PROPAGATION, "{balancers} balancers, {backends} agents: {took:?}");
+        let delay = outcome.max_propagation;
+        assert!(delay <= MAX_PROPAGATION, "{balancers} balancers, {backends} agents: {delay:?}");
     }
 }
 
@@ -65,7 +65,7 @@
     for (balancers, backends) in [(10, 20), (100, 200)] {
         let outcome = run_after_faults(&faults, balancers, backends, 1);
         assert!(outcome.keeps_invariants(), "{balancers} balancers: {outcome:?}");
-        let took = outcome.max_propagation;
-        assert!(took <= MAX_PROPAGATION, "{balancers} balancers, {backends} agents: {took:?}");
+        let delay = outcome.max_propagation;
+        assert!(delay <= MAX_PROPAGATION, "{balancers} balancers, {backends} agents: {delay:?}");
     }
 }
--- a/crates/lab/tests/evacuations.rs
+++ b/crates/lab/tests/evacuations.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn two_zones_in_turn_and_one_of_them_twice() {
+fn evacuating_two_zones_in_turn_and_one_of_them_twice_loses_no_request() {
     let faults = [
         (2.0, Fault::Evacuate(HALF)),
         (7.0, Fault::EndEvacuation(HALF)),
--- a/crates/lab/tests/event_profile.rs
+++ b/crates/lab/tests/event_profile.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn kinds_come_by_frequency_and_a_table_is_cut_at_its_ends() {
+fn kinds_are_ordered_by_frequency_and_a_table_is_limited_to_its_range() {
     let profile = EventProfile::from_logs(&logs(), 100);
     assert_eq!(profile.kinds(2), [("opening_placed", 3), ("opening_refused:busy", 2)]);
     assert_eq!(profile.table(1, 0.1, 0.2), "seconds,opening_placed\n0.10,0\n");
--- a/crates/lab/tests/planned_changes.rs
+++ b/crates/lab/tests/planned_changes.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_bad_network_breaks_nothing() {
+fn a_bad_network_breaks_no_flow() {
     for seed in SEEDS {
         let network = NetworkSettings {
             delay: seconds(0.0015),
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_idle_flow_lives_on() {
+fn an_idle_flow_stays_open() {
     let mut world = world(WorldSettings::default(), 2, 2);
     world.configure_all(&configurations(&[create(2)])[0]);
     open_flows(&mut world, 4, seconds(0.0), seconds(1.0), &callers(3, seconds(900.0), true));
@@ -242,7 +242,7 @@
 
 /// A caller that disappears without closing its flow must not occupy the back end for ever.
 #[test]
-fn the_flow_of_a_caller_that_vanished_is_given_up() {
+fn the_flow_of_a_vanished_caller_is_removed() {
     let mut world = world(WorldSettings::default(), 1, 1);
     world.configure_all(&configurations(&[create(1)])[0]);
     open_flows(&mut world, 4, seconds(0.0), seconds(1.0), &callers(3, seconds(900.0), true));
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_scenario_reads_back_from_what_it_writes() {
+fn every_scenario_is_unchanged_after_writing_and_parsing() {
     let folder = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
     for file in std::fs::read_dir(folder).expect("a folder") {
         let name = file.expect("a file").file_name().into_string().expect("a name");
--- a/crates/lab/tests/starved.rs
+++ b/crates/lab/tests/starved.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn slow_balancers_suspect_no_living_agent_at_any_size() {
+fn slow_balancers_do_not_suspect_live_agents_at_any_size() {
     for size in SIZES {
         let outcome = run_after_power_loss(size, Policies::default());
         assert!(outcome.keeps_invariants(), "{size:?}: {outcome:?}");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn without_the_scheduling_delay_policy_slow_balancers_suspect_living_agents() {
+fn without_the_scheduling_delay_policy_slow_balancers_suspect_live_agents() {
     for size in SIZES {
         let outcome =
             run_after_power_loss(size, Policies::default().without(Policy::SchedulingDelay));
--- a/crates/lab/tests/traces.rs
+++ b/crates/lab/tests/traces.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_trace_reads_back_and_replays_to_its_outcomes() {
+fn a_trace_is_unchanged_after_writing_and_parsing_and_replays_to_the_same_report() {
     let trace = recorded();
     let read = Trace::read(&trace.write()).expect("a trace");
     assert_eq!(read, trace);
--- a/crates/lab/tests/watchers.rs
+++ b/crates/lab/tests/watchers.rs
@@ -65,7 +65,7 @@
     let calls = |balancers: usize| {
         // Each node reads the node list and the configuration when it starts.
         let starts = 2 * (balancers + CarriedWorldSettings::default().backends) as u64;
-        run_with_faults(balancers, &[]).store_calls - starts
+        run_with_faults(balancers, &[]).store_reads - starts
     };
     let (few, many) = (calls(12), calls(48));
     assert!(many <= few + few / 4, "{few} calls of 12 balancers, {many} of 48");
--- a/crates/standin/src/fabric.rs
+++ b/crates/standin/src/fabric.rs
@@ -32,7 +32,7 @@
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 const SOCKET_BUFFER_BYTES: usize = 4 * 1024 * 1024;
-const MAX_DATAGRAMS_PER_WAKEUP: usize = 64;
+const DATAGRAMS_PER_BATCH: usize = 64;
 const FLOW_BUFFER_BYTES: usize = 64 * 1024;
 const HOP_LIMIT: u8 = 64;
 const UDP_HEADER_BYTES: usize = 8;
@@ -250,7 +250,7 @@
     }
 
     fn receive(&mut self, buffer: &mut [u8]) {
-        for _ in 0..MAX_DATAGRAMS_PER_WAKEUP {
+        for _ in 0..DATAGRAMS_PER_BATCH {
             let Ok((length, from)) = self.socket.try_recv_from(buffer) else {
                 return;
             };
@@ -396,7 +396,7 @@
         }
         if self.prober.take_changed() {
             self.live_balancers = self.prober.alive_peers().collect();
-            log::info!(balancers = self.live_balancers.len(); "set of live balancers changed");
+            log::info!(balancers = self.live_balancers.len(); "balancers in use have changed");
         }
     }
 
--- a/crates/standin/tests/key_value.rs
+++ b/crates/standin/tests/key_value.rs
@@ -56,10 +56,10 @@
         range_end: text(&prefix_end("/a/")),
         start_revision: Number(1),
     };
-    let begun = store.start_watch(&request);
-    assert!(begun[0].created);
-    assert_eq!(begun.len(), 2);
-    assert_eq!(begun[1].events[0].kv.value.0, "one");
+    let responses = store.start_watch(&request);
+    assert!(responses[0].created);
+    assert_eq!(responses.len(), 2);
+    assert_eq!(responses[1].events[0].kv.value.0, "one");
     let (_, change) = store.put(put("/b/2", "other"));
     let change = change.expect("a change");
     assert!(loftdrift_standin::key_value::watch_response(&change, &request).is_none());
@@ -73,9 +73,9 @@
     }
     let request =
         WatchCreateRequest { key: text("/a"), range_end: text(""), start_revision: Number(2) };
-    let begun = store.start_watch(&request);
-    assert!(begun[1].canceled);
-    assert!(begun[1].compact_revision.0 >= 2);
+    let responses = store.start_watch(&request);
+    assert!(responses[1].canceled);
+    assert!(responses[1].compact_revision.0 >= 2);
 }
 
 #[test]
