--- a/crates/app/src/agent_process.rs
+++ b/crates/app/src/agent_process.rs
@@ -22,7 +22,7 @@
 use tokio::time::Instant;
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-/// Datagrams read before the driver checks its other inputs again.
+/// Maximum number of datagrams read before the driver checks its other inputs again.
 const DATAGRAMS_PER_BATCH: usize = 64;
 const BACKEND_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 const EVENT_QUEUE_CAPACITY: usize = 4_096;
--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -16,7 +16,7 @@
 use tokio::time::Instant;
 
 const MAX_DATAGRAM_BYTES: usize = 65_535;
-/// Datagrams read before the driver checks its other inputs again.
+/// Maximum number of datagrams read before the driver checks its other inputs again.
 const DATAGRAMS_PER_BATCH: usize = 64;
 const PROBE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/app/tests/processes.rs
+++ b/crates/app/tests/processes.rs
@@ -41,15 +41,17 @@
     let port = cluster.service_port();
     let path = format!("/bytes/{BYTES}?seed=5");
     let expected = http::request(cluster.backends[0].addresses[0], "GET", &path, "");
-    let expected = expected.expect("the body directly from the back end");
+    let expected = expected.expect("failed to fetch the body directly from the back end");
     let fetching = std::thread::spawn(move || http::request(port, "GET", &path, ""));
     sleep_ms(150);
     cluster.balancers[0].signal(Signal::SIGKILL);
     let address = cluster.start_balancer();
     cluster.list_balancer(4, address);
     cluster.balancers[1].signal(Signal::SIGTERM);
-    let fetched =
-        fetching.join().expect("a thread panicked").expect("the body through the load balancer");
+    let fetched = fetching
+        .join()
+        .expect("a thread panicked")
+        .expect("failed to fetch the body through the load balancer");
     assert_eq!(fetched.len(), BYTES);
     assert!(fetched == expected);
 }
--- a/crates/bench/benches/agent.rs
+++ b/crates/bench/benches/agent.rs
@@ -48,7 +48,7 @@
     fn new(flows: u64) -> Self {
         let configuration = configuration(1, 1);
         let address = configuration.services["s0"].backends["b0"].agent;
-        let mut agent = Agent::new(agent_settings()).expect("a chart");
+        let mut agent = Agent::new(agent_settings()).expect("invalid chart");
         agent.adopt(Duration::ZERO, &configuration);
         agent.handle_health_check(Duration::ZERO, true);
         let mut bench = Bench {
@@ -100,7 +100,7 @@
         while let Some(output) = self.agent.take_output() {
             match output {
                 Output::Transmit { datagram, .. } => {
-                    let packet = GenevePacket::parse(&datagram).expect("a packet");
+                    let packet = GenevePacket::parse(&datagram).expect("invalid packet");
                     self.callers[caller].receive(self.now, packet.inner);
                 }
                 Output::Socket { flow, command } => self.handle_command(flow, &command),
--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -49,17 +49,17 @@
     }
 
     fn decide(&self, packet: &[u8]) -> SocketAddrV4 {
-        let inner = parse_inner(packet).expect("a packet");
+        let inner = parse_inner(packet).expect("invalid packet");
         let buckets = &self.services[&inner.flow.service];
         buckets[flow_hash(&inner.flow) as usize % buckets.len()]
     }
 }
 
 fn decide(map: &SteeringMap, packet: &[u8]) -> SocketAddrV4 {
-    let inner = parse_inner(packet).expect("a packet");
-    let service = map.service(&inner.flow).expect("a service");
+    let inner = parse_inner(packet).expect("invalid packet");
+    let service = map.service(&inner.flow).expect("unknown service");
     let option = black_box(service.existing_flow_option(&inner.flow, inner.timestamp_echo));
-    option.current().expect("a candidate").agent
+    option.current().expect("no candidate").agent
 }
 
 fn discard(agent: SocketAddrV4) {
--- a/crates/bench/benches/forwarding.rs
+++ b/crates/bench/benches/forwarding.rs
@@ -19,11 +19,11 @@
 const DATAGRAMS_PER_BATCH: usize = 64;
 
 async fn bind() -> UdpSocket {
-    UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("a port")
+    UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await.expect("failed to bind a socket")
 }
 
 fn address(socket: &UdpSocket) -> SocketAddrV4 {
-    match socket.local_addr().expect("an address") {
+    match socket.local_addr().expect("socket has no address") {
         SocketAddr::V4(address) => address,
         SocketAddr::V6(address) => panic!("{address} is no IPv4 address"),
     }
@@ -33,7 +33,7 @@
 async fn relay(socket: UdpSocket, target: SocketAddrV4) {
     let mut buffer = vec![0; 65_535];
     loop {
-        socket.readable().await.expect("a socket");
+        socket.readable().await.expect("failed to wait for the socket");
         for _ in 0..DATAGRAMS_PER_BATCH {
             let Ok((length, _)) = socket.try_recv_from(&mut buffer) else {
                 break;
@@ -68,7 +68,7 @@
     };
     tokio::spawn(async move {
         let _alive = (published, stop_sender);
-        balancer_process::run(task).await.expect("a balancer");
+        balancer_process::run(task).await.expect("balancer failed");
     });
     balancer
 }
@@ -85,10 +85,10 @@
     for window in 0..PACKETS_PER_ROUND / WINDOW_PACKETS {
         for number in 0..WINDOW_PACKETS {
             let packet = &packets[(window * WINDOW_PACKETS + number) % packets.len()];
-            source.send_to(packet, hop).expect("a send");
+            source.send_to(packet, hop).expect("failed to send");
         }
         for _ in 0..WINDOW_PACKETS {
-            sink.recv(&mut buffer).expect("every packet arrives");
+            sink.recv(&mut buffer).expect("packet was lost");
         }
     }
     start.elapsed()
@@ -99,11 +99,13 @@
         .worker_threads(2)
         .enable_all()
         .build()
-        .expect("a runtime");
-    let sink = std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    sink.set_read_timeout(Some(Duration::from_secs(5))).expect("a time-out");
-    let source = std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("a port");
-    let SocketAddr::V4(sink_address) = sink.local_addr().expect("an address") else {
+        .expect("failed to build the runtime");
+    let sink =
+        std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("failed to bind a socket");
+    sink.set_read_timeout(Some(Duration::from_secs(5))).expect("failed to set the timeout");
+    let source =
+        std::net::UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).expect("failed to bind a socket");
+    let SocketAddr::V4(sink_address) = sink.local_addr().expect("socket has no address") else {
         return;
     };
     let (balancer, relay_address) = runtime.block_on(async {
--- a/crates/bench/benches/state.rs
+++ b/crates/bench/benches/state.rs
@@ -59,8 +59,8 @@
 fn message_bytes() {
     let before = configuration(SERVICES, BACKENDS);
     let statements =
-        loftdrift_configuration::parse_script("bench", "drain backend b7").expect("a script");
-    let after = loftdrift_configuration::apply(&before, &statements).expect("a change that fits");
+        loftdrift_configuration::parse_script("bench", "drain backend b7").expect("invalid script");
+    let after = loftdrift_configuration::apply(&before, &statements).expect("invalid change");
     let change = Documents::writes(&before, &after, "command");
     let all = Documents::writes(&Configuration::default(), &after, "command");
     println!(
@@ -88,12 +88,12 @@
     };
     let events = writes.iter().map(event).collect();
     let line = WatchLine { result: WatchResponse { events, ..WatchResponse::default() } };
-    serde_json::to_string(&line).expect("JSON").len()
+    serde_json::to_string(&line).expect("failed to serialize").len()
 }
 
 fn agent_state() {
     let (agent, bytes) = measure_allocation(|| {
-        let mut agent = Agent::new(agent_settings()).expect("a chart");
+        let mut agent = Agent::new(agent_settings()).expect("invalid chart");
         agent.adopt(Duration::ZERO, &configuration(SERVICES, BACKENDS));
         agent
     });
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -48,8 +48,8 @@
             "attach backend b{backend} to s{service} at 127.0.0.1:8080 agent {agent} state active\n"
         ));
     }
-    let statements = parse_script("bench", &script).expect("a script");
-    apply(&Configuration::default(), &statements).expect("a change that fits")
+    let statements = parse_script("bench", &script).expect("invalid script");
+    apply(&Configuration::default(), &statements).expect("invalid change")
 }
 
 /// Settings of the agent beside the back end `b0`.
@@ -74,9 +74,9 @@
         .tcp(caller.port(), service.port(), 1, 8_192)
         .ack(1)
         .options(&[Noop, Noop, Timestamp(1, echo)])
-        .expect("options that fit");
+        .expect("options are too long");
     let mut packet = Vec::new();
-    builder.write(&mut packet, payload).expect("a packet");
+    builder.write(&mut packet, payload).expect("failed to write the packet");
     packet
 }
 
--- a/crates/charts/tests/loading.rs
+++ b/crates/charts/tests/loading.rs
@@ -28,7 +28,7 @@
 
 #[test]
 fn a_valid_chart_is_interpreted() {
-    let chart: TypedChart<Door, Push> = TypedChart::parse("door", VALID).expect("a chart");
+    let chart: TypedChart<Door, Push> = TypedChart::parse("door", VALID).expect("invalid chart");
     assert_eq!(chart.initial(), Door::Shut);
     assert_eq!(chart.transition(Door::Shut, Push::In), TypedTransition::To(Door::Open));
     assert_eq!(chart.transition(Door::Shut, Push::Out), TypedTransition::Refuse);
--- a/crates/configuration/src/language.rs
+++ b/crates/configuration/src/language.rs
@@ -46,7 +46,7 @@
         address: SocketAddrV4,
         /// TCP or UDP.
         transport: ServiceTransport,
-        /// Number of candidate back ends among which a new flow picks the least loaded.
+        /// Number of candidates that the SYN of a new flow visits to find the least loaded one.
         candidates: u8,
     },
     /// `delete service`
--- a/crates/configuration/src/model.rs
+++ b/crates/configuration/src/model.rs
@@ -90,7 +90,7 @@
     pub address: SocketAddrV4,
     /// TCP or UDP.
     pub transport: ServiceTransport,
-    /// Number of candidate back ends among which a new flow picks the least loaded.
+    /// Number of candidates that the SYN of a new flow visits to find the least loaded one.
     pub candidates: u8,
     /// Version of the configuration that last changed this service.
     pub changed: Version,
--- a/crates/configuration/tests/commit.rs
+++ b/crates/configuration/tests/commit.rs
@@ -57,12 +57,12 @@
         let StoreReply::Keys { keys, .. } = self.execute(&request) else {
             return Configuration::default();
         };
-        Documents::read(&keys).expect("documents").configuration()
+        Documents::read(&keys).expect("invalid documents").configuration()
     }
 }
 
 fn statements(script: &str) -> Vec<Statement> {
-    parse_script("test", script).expect("a script")
+    parse_script("test", script).expect("invalid script")
 }
 
 fn attach(name: &str, port: u16) -> Vec<Statement> {
--- a/crates/configuration/tests/edits.rs
+++ b/crates/configuration/tests/edits.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 fn edit(configuration: &Configuration, script: &str) -> Configuration {
-    let statements = parse_script("test", script).expect("a script");
-    apply(configuration, &statements).expect("a change that fits")
+    let statements = parse_script("test", script).expect("invalid script");
+    apply(configuration, &statements).expect("invalid change")
 }
 
 fn edit_errors(configuration: &Configuration, script: &str) -> Vec<EditError> {
-    let statements = parse_script("test", script).expect("a script");
+    let statements = parse_script("test", script).expect("invalid script");
     let errors = apply(configuration, &statements).expect_err("a change that does not fit");
     errors.into_iter().map(|(_, error)| error).collect()
 }
@@ -75,12 +75,12 @@
 #[test]
 fn a_shift_moves_the_share_over_time_and_the_next_one_starts_at_the_share_reached() {
     let run = |configuration: &Configuration, script: &str, unix_seconds: u64| {
-        let mut statements = parse_script("test", script).expect("a script");
+        let mut statements = parse_script("test", script).expect("invalid script");
         set_start_times(&mut statements, unix_seconds);
-        apply(configuration, &statements).expect("a change that fits")
+        apply(configuration, &statements).expect("invalid change")
     };
     let share = |configuration: &Configuration, unix_seconds: u64| {
-        let shift = configuration.services["tiles"].shift.expect("a shift");
+        let shift = configuration.services["tiles"].shift.expect("no shift");
         shift.right_permille(Duration::from_secs(unix_seconds))
     };
     let first = run(&two_backends(), "shift tiles to site right 50% over 10m", 1_000);
--- a/crates/lab/src/backend.rs
+++ b/crates/lab/src/backend.rs
@@ -26,7 +26,7 @@
 struct Connection {
     received: BytesMut,
     to_send: VecDeque<Bytes>,
-    /// Whether the agent has asked for another chunk (flow control).
+    /// Whether the agent has requested another chunk (flow control).
     has_credit: bool,
     /// The caller has finished sending.
     peer_finished: bool,
@@ -87,7 +87,7 @@
         !self.dead
     }
 
-    /// Forgets a connection; answers to its requests are dropped.
+    /// Removes a connection; answers to its requests are dropped.
     pub(crate) fn drop_connection(&mut self, flow: FlowId) {
         self.connections.remove(&flow);
     }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The next chunk of a flow whose agent has asked for one.
+    /// The next chunk of a flow whose agent has requested one.
     pub(crate) fn next_chunk(&mut self, flow: FlowId) -> Option<Bytes> {
         let connection = self.connections.get_mut(&flow)?;
         if !connection.has_credit {
--- a/crates/lab/src/carried/fault.rs
+++ b/crates/lab/src/carried/fault.rs
@@ -55,7 +55,8 @@
     StoreRestored(StoreRestore),
     /// The store refuses every balancer but serves operators and agents.
     RefuseBalancers(Duration),
-    /// Current watches on the store hang: their connections went silent, while new ones work.
+    /// Current watches on the store hang: their connections stop carrying data without being
+    /// closed, while new ones work.
     HangWatches(Duration),
     /// Operators point the second service address at the other service.
     MoveRoute,
--- a/crates/lab/src/carried/random_faults.rs
+++ b/crates/lab/src/carried/random_faults.rs
@@ -18,7 +18,7 @@
 const MAX_OUTAGE_MS: u64 = 3_000;
 const MAX_REWRITE_DELAY_MS: u64 = 5_000;
 const MAX_HANGS: u32 = 3;
-/// The longest duration of a watch and its timeout together.
+/// The maximum duration of a watch, 10 s, plus the 1.5 s after which a client gives it up.
 const MAX_HANG_MS: u64 = 11_500;
 const MAX_LOSS_PROBABILITY: f64 = 0.1;
 
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -43,7 +43,7 @@
 /// Time limit for a configuration to be in force everywhere, and for new flows to stop reaching a
 /// back end that leaves or whose zone is evacuated.
 const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
-/// Evacuations that operators have not rewritten this long after a restore are lost.
+/// Evacuations that operators have not rewritten this long after a restore count as lost.
 const REWRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Duration of a planned stop. The router has removed the balancer from rotation by then.
 const STOP_DURATION: Duration = Duration::from_millis(1_600);
@@ -159,7 +159,7 @@
         incarnation: u64,
     },
     /// A slow balancer runs one iteration of its driver.
-    ProcessorTurn {
+    DriverIteration {
         node: usize,
         incarnation: u64,
     },
@@ -320,7 +320,7 @@
             Event::StoreRestored(restore) => self.restore_store(restore),
             Event::OperatorsRewrite => self.rewrite_lost(),
             Event::PollStore { node, incarnation } => self.poll_store(node, incarnation),
-            Event::ProcessorTurn { node, incarnation } => self.run_turn(node, incarnation),
+            Event::DriverIteration { node, incarnation } => self.run_iteration(node, incarnation),
             Event::Resume { node, incarnation } => self.resume(node, incarnation),
             Event::ReadStore { node, incarnation } => self.read_store(node, incarnation),
             Event::Snapshot { from, to, incarnation } => self.send_snapshot(from, to, incarnation),
--- a/crates/lab/src/carried/world/nodes.rs
+++ b/crates/lab/src/carried/world/nodes.rs
@@ -92,7 +92,7 @@
             return self.schedule_wake(node, frozen_until);
         }
         if self.is_slow(node) {
-            return self.request_turn(node);
+            return self.schedule_iteration(node);
         }
         if self.nodes[node].next_timeout().is_some_and(|next| next <= self.now) {
             self.nodes[node].handle_timeout(self.now);
--- a/crates/lab/src/carried/world/processor.rs
+++ b/crates/lab/src/carried/world/processor.rs
@@ -4,9 +4,11 @@
 
 use super::*;
 
-/// Datagrams read from one socket before the driver moves on, as in the balancer's driver.
+/// Maximum number of datagrams read from one socket before the other input is processed, as in the
+/// balancer's driver.
 const DATAGRAMS_PER_BATCH: usize = 32;
-/// Messages of nodes processed before due timers run, as in the balancer's driver.
+/// Maximum number of waiting messages of nodes that are processed before due timers run, as in the
+/// balancer's driver.
 const MAX_PEER_DATAGRAMS_BEFORE_TIMERS: usize = 512;
 /// Datagrams that a socket buffer holds, about as many as one of 1 MB; further ones are dropped.
 const SOCKET_CAPACITY_DATAGRAMS: usize = 1_024;
@@ -17,8 +19,8 @@
     peer_queue: VecDeque<(SocketAddrV4, Vec<u8>)>,
     caller_queue: VecDeque<Vec<u8>>,
     input_age: InputAge,
-    /// Whether a turn is scheduled; there is never more than one.
-    is_turn_scheduled: bool,
+    /// Whether an iteration of the driver is scheduled; there is never more than one.
+    is_iteration_scheduled: bool,
     busy_until: Duration,
 }
 
@@ -50,7 +52,7 @@
         if peer_queue.len() < SOCKET_CAPACITY_DATAGRAMS {
             peer_queue.push_back((from, datagram));
         }
-        self.request_turn(node);
+        self.schedule_iteration(node);
     }
 
     /// Queues a packet of a caller in a slow balancer's socket.
@@ -59,25 +61,25 @@
         if caller_queue.len() < SOCKET_CAPACITY_DATAGRAMS {
             caller_queue.push_back(packet);
         }
-        self.request_turn(node);
+        self.schedule_iteration(node);
     }
 
-    /// Schedules a slow balancer's next turn for when its processor is free.
-    pub(super) fn request_turn(&mut self, node: usize) {
+    /// Schedules the next iteration of a slow balancer's driver for when its processor is free.
+    pub(super) fn schedule_iteration(&mut self, node: usize) {
         let process = &mut self.nodes[node];
-        if std::mem::replace(&mut process.inbox.is_turn_scheduled, true) {
+        if std::mem::replace(&mut process.inbox.is_iteration_scheduled, true) {
             return;
         }
         let (at, incarnation) = (self.now.max(process.inbox.busy_until), process.incarnation);
-        self.events.push(at, Event::ProcessorTurn { node, incarnation });
+        self.events.push(at, Event::DriverIteration { node, incarnation });
     }
 
     /// Runs one iteration of a slow balancer's driver.
-    pub(super) fn run_turn(&mut self, node: usize, incarnation: u64) {
+    pub(super) fn run_iteration(&mut self, node: usize, incarnation: u64) {
         if self.nodes[node].incarnation != incarnation || self.nodes[node].core.is_none() {
             return;
         }
-        self.nodes[node].inbox.is_turn_scheduled = false;
+        self.nodes[node].inbox.is_iteration_scheduled = false;
         let started = self.now;
         self.process_peers(node, DATAGRAMS_PER_BATCH);
         self.process_callers(node);
@@ -92,7 +94,7 @@
         self.nodes[node].inbox.busy_until = self.now;
         self.now = started;
         if !self.nodes[node].inbox.is_empty() {
-            self.request_turn(node);
+            self.schedule_iteration(node);
         }
     }
 
--- a/crates/lab/src/scenario.rs
+++ b/crates/lab/src/scenario.rs
@@ -46,7 +46,7 @@
     pub left_backends: u32,
     /// Slots of each back end: requests that it processes at the same time.
     pub slots: u32,
-    /// How many candidate agents a balancer lists in the packet that opens a flow.
+    /// Number of candidate agents that the SYN of a new flow visits.
     pub candidates: u32,
     /// Flows opened at the start.
     pub initial_flows: u32,
--- a/crates/lab/src/world/agents.rs
+++ b/crates/lab/src/world/agents.rs
@@ -29,7 +29,7 @@
         self.process_agent_outputs(address);
     }
 
-    /// Carries out the pending outputs of an agent's core and schedules its next timer.
+    /// Executes the pending outputs of an agent's core and schedules its next timer.
     pub(super) fn process_agent_outputs(&mut self, address: SocketAddrV4) {
         while let Some(agent) = self.agents.get_mut(&address) {
             let Some(output) = agent.core.take_output() else {
--- a/crates/lab/src/world/callers.rs
+++ b/crates/lab/src/world/callers.rs
@@ -47,7 +47,7 @@
         self.process_caller_commands(flow);
     }
 
-    /// Carries out the pending commands of a caller's flow, sends its packets and schedules its
+    /// Executes the pending commands of a caller's flow, sends its packets and schedules its
     /// next timer.
     pub(super) fn process_caller_commands(&mut self, flow: FlowId) {
         while let Some(open) = self.callers.get_mut(flow) {
--- a/crates/lab/src/world/mod.rs
+++ b/crates/lab/src/world/mod.rs
@@ -159,12 +159,12 @@
         self.packets
     }
 
-    /// Counts of the run so far.
+    /// Counts of flows, requests and faults so far.
     pub fn outcome(&self) -> &Outcome {
         &self.outcome
     }
 
-    /// Adds a balancer, to which the fabric sends packets from now on.
+    /// Adds a balancer. The fabric sends packets to it from now on.
     pub fn add_balancer(&mut self, number: u32) {
         let address = Self::balancer_address(number);
         self.balancers.insert(address, Balancer::new(PROBE_SETTINGS));
@@ -254,14 +254,14 @@
         self.balancers.get(&Self::balancer_address(number))
     }
 
-    /// Gives a balancer a configuration.
+    /// Delivers a configuration to a balancer.
     pub fn configure_balancer(&mut self, number: u32, configuration: &Configuration) {
         if let Some(core) = self.balancers.get_mut(&Self::balancer_address(number)) {
             core.adopt(self.now, configuration);
         }
     }
 
-    /// Gives an agent a configuration.
+    /// Delivers a configuration to an agent.
     pub fn configure_agent(&mut self, number: u32, configuration: &Configuration) {
         if let Some(agent) = self.agents.get_mut(&Self::agent_address(number)) {
             agent.core.adopt(self.now, configuration);
@@ -269,7 +269,7 @@
         self.process_agent_outputs(Self::agent_address(number));
     }
 
-    /// Gives every node a configuration.
+    /// Delivers a configuration to every node.
     pub fn configure_all(&mut self, configuration: &Configuration) {
         for core in self.balancers.values_mut() {
             core.adopt(self.now, configuration);
@@ -283,7 +283,7 @@
         }
     }
 
-    /// Schedules a script, a change of the world, at a virtual time.
+    /// Schedules a function that changes the world, to be called at a virtual time.
     pub fn schedule(&mut self, time: Duration, script: impl FnOnce(&mut World) + 'static) {
         self.queue.push(time, Event::Script(Box::new(script)));
     }
--- a/crates/lab/tests/disagreement.rs
+++ b/crates/lab/tests/disagreement.rs
@@ -22,7 +22,7 @@
 /// agents that it lists as candidates do not know. After 12 s every node gets the newest one.
 fn run(settings: WorldSettings, history: &[Configuration], timestamps: bool) -> Outcome {
     let mut world = world(settings, 2, 4);
-    let newest = history.last().expect("a configuration").clone();
+    let newest = history.last().expect("no configuration").clone();
     world.configure_balancer(1, &newest);
     world.configure_balancer(2, &history[0]);
     for number in 1..=4_u32 {
@@ -119,7 +119,7 @@
     for agent in 0..3_u32 {
         world.configure_agent(agent + 1, &list[held[agent as usize + 2]]);
     }
-    let newest = list.last().expect("a configuration").clone();
+    let newest = list.last().expect("no configuration").clone();
     let behaviour = callers(REQUESTS, seconds(0.5), timestamps);
     open_flows(&mut world, 4, seconds(0.0), seconds(0.5), &behaviour);
     world.schedule(seconds(4.0), move |world| world.configure_all(&newest));
--- a/crates/lab/tests/hanging_waits.rs
+++ b/crates/lab/tests/hanging_waits.rs
@@ -1,5 +1,5 @@
-//! Watches on the store that hang: their connections went silent, while new ones work. In a system
-//! with few balancers all of them watch the store.
+//! Watches on the store that hang: their connections stop carrying data without being closed, while
+//! new ones work. In a system with few balancers all of them watch the store.
 
 mod support;
 
--- a/crates/lab/tests/scenarios.rs
+++ b/crates/lab/tests/scenarios.rs
@@ -9,30 +9,41 @@
 
 fn read(name: &str) -> Scenario {
     let path = format!("{}/../../scenarios/{name}", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(&path).expect("a file");
-    Scenario::parse(name, &text).expect("a scenario")
+    let text = std::fs::read_to_string(&path).expect("failed to read the file");
+    Scenario::parse(name, &text).expect("invalid scenario")
 }
 
 #[test]
 fn every_scenario_is_unchanged_after_writing_and_parsing() {
     let folder = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
-    for file in std::fs::read_dir(folder).expect("a folder") {
-        let name = file.expect("a file").file_name().into_string().expect("a name");
+    for file in std::fs::read_dir(folder).expect("failed to read the folder") {
+        let name = file
+            .expect("failed to read the folder")
+            .file_name()
+            .into_string()
+            .expect("file name is not UTF-8");
         let scenario = read(&name);
-        assert_eq!(Scenario::parse(&name, &scenario.to_toml()).expect("a scenario"), scenario);
+        assert_eq!(
+            Scenario::parse(&name, &scenario.to_toml()).expect("invalid scenario"),
+            scenario
+        );
     }
 }
 
 #[test]
 fn every_scenario_reaches_its_expected_results() {
     let folder = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
-    for file in std::fs::read_dir(folder).expect("a folder") {
-        let name = file.expect("a file").file_name().into_string().expect("a name");
+    for file in std::fs::read_dir(folder).expect("failed to read the folder") {
+        let name = file
+            .expect("failed to read the folder")
+            .file_name()
+            .into_string()
+            .expect("file name is not UTF-8");
         if name == LARGE {
             continue;
         }
         let scenario = read(&name);
-        let report = run(&Plan::new(&scenario, 1)).expect("a run").report;
+        let report = run(&Plan::new(&scenario, 1)).expect("run failed").report;
         assert_eq!(report.missed_expectations(&scenario.expect), Vec::<String>::new(), "{name}");
         assert!(report.flows_opened > 0 && report.answered_whole > 0, "{name}: {report:?}");
     }
@@ -41,7 +52,7 @@
 #[test]
 fn planned_changes_break_no_flow() {
     for name in PLANNED {
-        let report = run(&Plan::new(&read(&format!("{name}.toml")), 2)).expect("a run").report;
+        let report = run(&Plan::new(&read(&format!("{name}.toml")), 2)).expect("run failed").report;
         assert_eq!(report.flows_broken, 0, "{name}: {report:?}");
         assert_eq!(report.answered_whole, report.requests_sent, "{name}: {report:?}");
     }
@@ -52,7 +63,7 @@
     let mut scenario = read("small-pools.toml");
     scenario.expect.imbalance = Some(1.0);
     scenario.expect.extra_hops = Some(0.0);
-    let report = run(&Plan::new(&scenario, 1)).expect("a run").report;
+    let report = run(&Plan::new(&scenario, 1)).expect("run failed").report;
     let missed = report.missed_expectations(&scenario.expect);
     assert_eq!(missed.len(), 3, "{missed:?}");
     assert!(missed[0].contains("imbalance of manifests"), "{missed:?}");
@@ -63,7 +74,7 @@
 fn random_timelines_violate_no_invariant() {
     let base = read("explore.toml");
     for seed in 1..=EXPLORED_SEEDS {
-        let failure = explore(&base, seed).expect("a valid timeline");
+        let failure = explore(&base, seed).expect("invalid timeline");
         assert!(failure.is_none(), "seed {seed}: {failure:?}");
     }
 }
@@ -80,19 +91,19 @@
         service.timestamps = 0.0;
         service.flows_per_second = 6.0;
     }
-    let find = |seed| explore(&base, seed).expect("a valid timeline");
-    let failure = (1..=MAX_SEEDS).find_map(find).expect("a violated invariant");
+    let find = |seed| explore(&base, seed).expect("invalid timeline");
+    let failure = (1..=MAX_SEEDS).find_map(find).expect("no timeline violated an invariant");
     let before = failure.scenario.events.len();
     let smallest = loftdrift_lab::shrink(failure);
     assert!(smallest.scenario.events.len() <= before);
-    let again = run(&Plan::new(&smallest.scenario, smallest.seed)).expect("a run").report;
+    let again = run(&Plan::new(&smallest.scenario, smallest.seed)).expect("run failed").report;
     assert!(!again.violated_invariants().is_empty());
 }
 
 #[test]
 fn baselines_break_flows_where_loftdrift_breaks_none() {
     let policies = [Policy::Loftdrift, Policy::HashModulo, Policy::Maglev, Policy::AllKnowing];
-    let compared = compare(&read("drain-all.toml"), 1, &policies).expect("a comparison");
+    let compared = compare(&read("drain-all.toml"), 1, &policies).expect("comparison failed");
     let [ours, modulo, maglev, bound] = compared.as_slice() else { panic!("{compared:?}") };
     assert_eq!(ours.broken, 0);
     assert!(modulo.broken > 0 && maglev.broken > 0, "{compared:?}");
--- a/crates/lab/tests/support/mod.rs
+++ b/crates/lab/tests/support/mod.rs
@@ -16,7 +16,7 @@
 }
 
 pub fn tiles() -> SocketAddrV4 {
-    TILES.parse().expect("an address")
+    TILES.parse().expect("invalid address")
 }
 
 /// The configuration after each script, in order.
@@ -24,8 +24,8 @@
     let mut current = Configuration::default();
     let mut list = Vec::new();
     for script in scripts {
-        let statements = parse_script("test", script).expect("a script");
-        current = apply(&current, &statements).expect("a change that fits");
+        let statements = parse_script("test", script).expect("invalid script");
+        current = apply(&current, &statements).expect("invalid change");
         list.push(current.clone());
     }
     list
@@ -57,7 +57,7 @@
 
 /// A world with balancers `1..=balancers` and tile agents `1..=agents`.
 pub fn world(settings: WorldSettings, balancers: u32, agents: u32) -> World {
-    let mut world = World::new(settings).expect("a chart");
+    let mut world = World::new(settings).expect("invalid chart");
     for number in 1..=balancers {
         world.add_balancer(number);
     }
@@ -67,7 +67,7 @@
             processing_time: Duration::from_millis(5),
             slots: 7,
         };
-        world.add_agent(number, &format!("tiles-{number}"), behaviour).expect("a chart");
+        world.add_agent(number, &format!("tiles-{number}"), behaviour).expect("invalid chart");
     }
     world
 }
--- a/crates/lab/tests/traces.rs
+++ b/crates/lab/tests/traces.rs
@@ -5,9 +5,9 @@
 
 fn recorded() -> Trace {
     let path = format!("{}/../../scenarios/explore.toml", env!("CARGO_MANIFEST_DIR"));
-    let text = std::fs::read_to_string(path).expect("a file");
-    let plan = Plan::new(&Scenario::parse("explore", &text).expect("a scenario"), 9);
-    let report = run(&plan).expect("a run").report;
+    let text = std::fs::read_to_string(path).expect("failed to read the file");
+    let plan = Plan::new(&Scenario::parse("explore", &text).expect("invalid scenario"), 9);
+    let report = run(&plan).expect("run failed").report;
     Trace { plan, report }
 }
 
@@ -19,9 +19,9 @@
 #[test]
 fn a_trace_is_unchanged_after_writing_and_parsing_and_replays_to_the_same_report() {
     let trace = recorded();
-    let read = Trace::read(&trace.write()).expect("a trace");
+    let read = Trace::read(&trace.write()).expect("invalid trace");
     assert_eq!(read, trace);
-    assert_eq!(run(&read.plan).expect("a run").report, trace.report);
+    assert_eq!(run(&read.plan).expect("run failed").report, trace.report);
 }
 
 #[test]
@@ -43,7 +43,7 @@
     for place in (0..text.len() - 1).step_by(97) {
         let mut bytes = text.clone().into_bytes();
         bytes[place] = if bytes[place] == b'7' { b'8' } else { b'7' };
-        let altered = String::from_utf8(bytes).expect("text");
+        let altered = String::from_utf8(bytes).expect("trace is not UTF-8");
         assert!(Trace::read(&altered).is_err(), "byte {place}");
     }
 }
--- a/crates/settings/tests/findings.rs
+++ b/crates/settings/tests/findings.rs
@@ -85,7 +85,7 @@
     let mut overrides = Overrides::default();
     overrides.set("listen", "127.0.0.1:6000".to_owned());
     overrides.set("drain-seconds", "0.5".to_owned());
-    let settings = Settings::read("t", text, None, &overrides).expect("settings");
+    let settings = Settings::read("t", text, None, &overrides).expect("invalid settings");
     let Settings::Balancer(balancer) = settings else { panic!("{settings:?}") };
     assert_eq!(balancer.listen.port(), 6000);
     assert_eq!(balancer.drain_duration.as_millis(), 500);
--- a/crates/standin/tests/key_value.rs
+++ b/crates/standin/tests/key_value.rs
@@ -61,7 +61,7 @@
     assert_eq!(responses.len(), 2);
     assert_eq!(responses[1].events[0].kv.value.0, "one");
     let (_, change) = store.put(put("/b/2", "other"));
-    let change = change.expect("a change");
+    let change = change.expect("no change");
     assert!(loftdrift_standin::key_value::watch_response(&change, &request).is_none());
 }
 
