--- a/crates/app/src/balancer_process.rs
+++ b/crates/app/src/balancer_process.rs
@@ -21,7 +21,7 @@
 const PROBE_TICK_INTERVAL: Duration = Duration::from_millis(100);
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Consecutive probes without a reply after which an agent is considered dead.
+/// Consecutive probes without a reply after which an agent is suspected to have failed.
 const MAX_MISSED_PROBES: u32 = 3;
 
 /// Resources and settings of a balancer's task.
--- a/crates/lab/src/carried/world/backends.rs
+++ b/crates/lab/src/carried/world/backends.rs
@@ -114,8 +114,9 @@
             let is_new = self.request_runs.insert((0, request));
             self.outcome.duplicate_runs += u64::from(!is_new);
             let start_id = self.backends[agent].start_id;
-            let work = self.settings.work.mul_f64(self.random.random_range(0.5..1.5));
-            self.events.push(self.now + work, Event::WorkDone { agent, start_id, flow });
+            let processing_time =
+                self.settings.processing_time.mul_f64(self.random.random_range(0.5..1.5));
+            self.events.push(self.now + processing_time, Event::WorkDone { agent, start_id, flow });
         }
     }
 
--- a/crates/lab/src/carried/world/faults.rs
+++ b/crates/lab/src/carried/world/faults.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl CarriedWorld {
-    pub(super) fn fault(&mut self, fault: CarriedFault) {
+    pub(super) fn inject_fault(&mut self, fault: CarriedFault) {
         let balancers = self.settings.balancers;
         match fault {
             CarriedFault::KillBalancer(node, down) => self.kill(node, down),
--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -70,7 +70,7 @@
     /// Requests that all callers together start per second.
     pub requests_per_second: u64,
     /// Mean processing time of a request.
-    pub work: Duration,
+    pub processing_time: Duration,
     /// Every n-th caller sends several requests on one flow; 0 for none.
     pub long_flow_interval: u64,
     /// Virtual duration of the run.
@@ -92,7 +92,7 @@
             backends: 9,
             slots: 4,
             requests_per_second: 200,
-            work: Duration::from_millis(30),
+            processing_time: Duration::from_millis(30),
             long_flow_interval: 4,
             duration: Duration::from_secs(29),
             seed: 1,
@@ -335,7 +335,7 @@
                 }
             }
             Event::Start { node } => self.start_node(node),
-            Event::Fault(fault) => self.fault(fault),
+            Event::Fault(fault) => self.inject_fault(fault),
             Event::EndLoss => self.loss = 0.0,
         }
     }
--- a/crates/standin/src/backend.rs
+++ b/crates/standin/src/backend.rs
@@ -178,7 +178,7 @@
         let Some(guard) = self.admit() else {
             return self.overloaded_response();
         };
-        self.work(request).await;
+        self.run_request(request).await;
         let content = BodyStream { content: Content::new(seed, size), _guard: guard };
         let mut response = Response::new(BodyExt::boxed(StreamBody::new(content)));
         response.headers_mut().insert(hyper::header::CONTENT_LENGTH, HeaderValue::from(size));
@@ -190,7 +190,7 @@
             return self.overloaded_response();
         };
         let request_id = request.headers().get(&REQUEST_ID_HEADER).cloned();
-        self.work(&request).await;
+        self.run_request(&request).await;
         // An incomplete body means that the caller has disconnected and gets no response anyway.
         let _ = request.into_body().collect().await;
         let request_id = request_id.unwrap_or(HeaderValue::from_static(""));
@@ -213,7 +213,7 @@
     }
 
     /// Waits for a slot, records that the request runs, and simulates its run time.
-    async fn work(&self, request: &Request<Incoming>) {
+    async fn run_request(&self, request: &Request<Incoming>) {
         let slot = self.slots.acquire().await;
         let request_id =
             request.headers().get(&REQUEST_ID_HEADER).and_then(|value| value.to_str().ok());
