--- a/crates/lab/src/carried/world/mod.rs
+++ b/crates/lab/src/carried/world/mod.rs
@@ -43,14 +43,14 @@
 /// Time limit for a configuration to be in force everywhere, and for new flows to stop reaching a
 /// back end that leaves or whose zone is evacuated.
 const PROPAGATION_BOUND: Duration = Duration::from_secs(3);
-/// Evacuations that operators have not rewritten this long after a restore are lost.
+/// Evacuations that operators have not rewritten this long after a restore count as lost.
 const REWRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Duration of a planned stop. The router has removed the balancer from rotation by then.
 const STOP_DURATION: Duration = Duration::from_millis(1_600);
 /// A process that was frozen for longer than this is notified when it resumes.
 const STALL_THRESHOLD: Duration = Duration::from_secs(1);
 const MAX_FLOW_AGE: Duration = Duration::from_secs(60);
-const TARGET_LATENCY_MS: u32 = 200;
+const LATENCY_TARGET_MS: u32 = 200;
 const ZONES: usize = 3;
 const SERVICES: [&str; 2] = ["tiles", "sheets"];
 /// Requests on one flow of a caller that keeps it open.
@@ -70,7 +70,7 @@
     /// Requests that all callers together start per second.
     pub requests_per_second: u64,
     /// Mean processing time of a request.
-    pub work: Duration,
+    pub processing_time: Duration,
     /// Every n-th caller sends several requests on one flow; 0 for none.
     pub long_flow_interval: u64,
     /// Virtual duration of the run.
@@ -92,7 +92,7 @@
             backends: 9,
             slots: 4,
             requests_per_second: 200,
-            work: Duration::from_millis(30),
+            processing_time: Duration::from_millis(30),
             long_flow_interval: 4,
             duration: Duration::from_secs(29),
             seed: 1,
@@ -159,7 +159,7 @@
         incarnation: u64,
     },
     /// A slow balancer runs one iteration of its driver.
-    ProcessorTurn {
+    DriverIteration {
         node: usize,
         incarnation: u64,
     },
@@ -320,7 +320,7 @@
             Event::StoreRestored(restore) => self.restore_store(restore),
             Event::OperatorsRewrite => self.rewrite_lost(),
             Event::PollStore { node, incarnation } => self.poll_store(node, incarnation),
-            Event::ProcessorTurn { node, incarnation } => self.run_turn(node, incarnation),
+            Event::DriverIteration { node, incarnation } => self.run_iteration(node, incarnation),
             Event::Resume { node, incarnation } => self.resume(node, incarnation),
             Event::ReadStore { node, incarnation } => self.read_store(node, incarnation),
             Event::Snapshot { from, to, incarnation } => self.send_snapshot(from, to, incarnation),
@@ -335,7 +335,7 @@
                 }
             }
             Event::Start { node } => self.start_node(node),
-            Event::Fault(fault) => self.fault(fault),
+            Event::Fault(fault) => self.inject_fault(fault),
             Event::EndLoss => self.loss = 0.0,
         }
     }
@@ -360,7 +360,7 @@
     let route = |number: usize, service: &str| Route {
         address: service_address(number),
         targets: vec![RouteTarget { service: service.to_owned(), weight: 1 }],
-        latency_target_ms: TARGET_LATENCY_MS,
+        latency_target_ms: LATENCY_TARGET_MS,
         priority: 1,
         regions: Vec::new(),
     };
