--- a/crates/carried/src/balancer/lookups.rs
+++ b/crates/carried/src/balancer/lookups.rs
@@ -30,8 +30,7 @@
 const RESET_REPEAT_INTERVAL: Duration = Duration::from_millis(50);
 
 impl<F: SegmentFormat> CarriedBalancer<F> {
-    /// Handles a packet of a flow without a known owner. `returned_by` is the agent that has
-    /// returned the packet, if any.
+    /// Handles a packet of a flow without a known owner, which `returned_by` may have returned.
     pub(super) fn handle_unknown_flow(
         &mut self,
         now: Duration,
@@ -59,8 +58,7 @@
         self.advance_lookup(now, number);
     }
 
-    /// Adds a packet to the lookup of its flow, which is created if needed. Returns `None` if there
-    /// are too many lookups.
+    /// Adds a packet to its flow's lookup, created if needed. Returns `None` if there are too many.
     fn find_or_start_lookup(
         &mut self,
         now: Duration,
@@ -231,8 +229,7 @@
         self.lookups.wake_at(number, now + RESET_TTL);
     }
 
-    /// Describes the agents' answers for the log: the number of denials and the age of the oldest
-    /// one, and each agent that is presumed gone.
+    /// Describes answers for the log: number of denials, age of the oldest, agents presumed gone.
     fn describe_answers(&self, now: Duration, lookup: &Lookup) -> String {
         let absent = lookup.answers().filter_map(|(_, answer)| match answer {
             AgentAnswer::Absent(at) => Some(now.saturating_sub(*at).as_millis()),
@@ -280,15 +277,15 @@
             match status {
                 FlowStatus::Owned => self.handle_owned(now, from, (*flow).into()),
                 FlowStatus::Absent => {
-                    self.note_lookup_answer(now, from, (*flow).into(), AgentAnswer::Absent(now))
+                    self.on_answer(now, from, (*flow).into(), AgentAnswer::Absent(now))
                 }
                 // The agent has a record of every flow placed since the loss of power, and flows
                 // from before it have ended with their back ends.
                 FlowStatus::Unknown if lost_power => {
-                    self.note_lookup_answer(now, from, (*flow).into(), AgentAnswer::Absent(now));
+                    self.on_answer(now, from, (*flow).into(), AgentAnswer::Absent(now));
                 }
                 FlowStatus::Unknown => {
-                    self.note_lookup_answer(now, from, (*flow).into(), AgentAnswer::Unknown)
+                    self.on_answer(now, from, (*flow).into(), AgentAnswer::Unknown)
                 }
                 // It has not received its back end's first report yet and is asked again soon.
                 FlowStatus::NotReady => {}
@@ -297,13 +294,7 @@
     }
 
     /// Handles an agent's answer that it does not own a flow, or has no record of it.
-    fn note_lookup_answer(
-        &mut self,
-        now: Duration,
-        from: SocketAddrV4,
-        flow: FlowKey,
-        answer: AgentAnswer,
-    ) {
+    fn on_answer(&mut self, now: Duration, from: SocketAddrV4, flow: FlowKey, answer: AgentAnswer) {
         let number = self.lookups.number_of(&flow);
         let lookup = number.and_then(|number| Some((number, self.lookups.get_mut(number)?)));
         let Some((number, lookup)) = lookup.filter(|(_, lookup)| lookup.answer(&from).is_some())
--- a/crates/carried/src/balancer/pending_flows.rs
+++ b/crates/carried/src/balancer/pending_flows.rs
@@ -1,6 +1,5 @@
-//! Pending flows: new flows that are offered to one agent after the other until an agent places
-//! them, or they are refused, or dropped without a reset so that the caller's retransmitted SYN
-//! starts over.
+//! Pending flows: new flows offered to one agent after the other until one places them, or they are
+//! refused, or dropped without a reset so that the caller's retransmitted SYN starts over.
 //!
 //! A flow is first offered for a free slot of a back end, then for a place in a back end's queue,
 //! and then for a place in an agent's wait queue, where it waits until the back end has room.
@@ -33,7 +32,7 @@
             return self.check_queued_agent(now, number);
         }
         if let Some(agent) = self.flows.agent(&flow) {
-            if segment.acknowledgement > 0 && self.may_repeat_offer(now, agent, &flow) {
+            if segment.acknowledgement > 0 && self.may_repeat(now, agent, &flow) {
                 return self.repeat_offer(agent, &flow, datagram);
             }
             self.flows.remove(&flow, agent);
@@ -87,12 +86,7 @@
 
     /// Whether a retransmitted SYN may be sent to the agent with which the flow was placed: the
     /// agent is not suspect, and the address is still routed to its service and region.
-    pub(super) fn may_repeat_offer(
-        &self,
-        now: Duration,
-        agent: SocketAddrV4,
-        flow: &FlowKey,
-    ) -> bool {
+    pub(super) fn may_repeat(&self, now: Duration, agent: SocketAddrV4, flow: &FlowKey) -> bool {
         let Some(view) = self.pool.view(&agent) else { return false };
         let route = self.routes.route(&flow.service);
         let parts = route.map(|route| route.targets.as_slice()).unwrap_or_default();
@@ -101,8 +95,7 @@
         is_part && is_allowed && !view.is_suspect(now, self.cluster.membership.interval())
     }
 
-    /// Forwards a retransmitted SYN of a placed flow to its agent, since the reply to the caller
-    /// was lost.
+    /// Forwards a placed flow's retransmitted SYN to its agent: the reply to the caller was lost.
     pub(super) fn repeat_offer(&mut self, agent: SocketAddrV4, flow: &FlowKey, datagram: &[u8]) {
         let Some(service) = self.pool.view(&agent).map(|view| view.report.service.clone()) else {
             return;
@@ -132,8 +125,8 @@
         let is_last_free = pending.offer_count + 1 >= FREE_OFFERS;
         loop {
             let is_late = pending.is_late(now) && self.pool.is_recovering(now, &pending.service);
-            let may_wait = self.policies.is_enabled(Policy::WaitQueue)
-                && pending.remaining_wait(now).is_some();
+            let may_wait =
+                self.policies.is_enabled(Policy::WaitQueue) && pending.wait_left(now).is_some();
             if pending.wants_wait_queue || (may_wait && (is_late || is_overloaded)) {
                 break;
             }
@@ -209,17 +202,15 @@
             (false, true) => Some(Refusal::Busy),
             (false, false) if is_evacuated => Some(Refusal::Unavailable),
             (false, false) if age < pending.latency_target.mul_f64(RETRY_SHARE) => None,
-            // Agents are still being discovered: the list of nodes came with the first
-            // configuration.
-            (false, false) if is_discovering && pending.remaining_wait(now).is_some() => None,
+            // Agents are still being discovered: the first configuration brought the node list.
+            (false, false) if is_discovering && pending.wait_left(now).is_some() => None,
             (false, false) => Some(Refusal::Unavailable),
         };
         match refusal {
             None => self.pending_flows.wake_at(number, now + RETRY_INTERVAL),
             Some(refusal) => {
                 let Some(pending) = self.pending_flows.finish(number) else { return };
-                // This process is delayed: an agent's answer or the caller's next packet may wait
-                // in its socket buffers.
+                // This process is delayed: sockets may hold an answer or the caller's next packet.
                 let may_be_open = has_unanswered && self.scheduling_delay.is_delayed(now);
                 if may_be_open || !pending.may_reset(now) {
                     return self.give_up(now, &pending, refusal);
@@ -237,7 +228,7 @@
         }
         let interval = self.cluster.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return false };
-        if pending.remaining_wait(now).is_none() || pending.wait_queues_left() == 0 {
+        if pending.wait_left(now).is_none() || pending.wait_queues_left() == 0 {
             return false;
         }
         let may_ask = |agent: &SocketAddrV4, view: &AgentView| {
@@ -249,8 +240,7 @@
         let shortest =
             self.pool.shortest_wait_queue(now, interval, &pending.service, ranking, may_ask, noise);
         let Some(agent) = shortest else { return false };
-        // Each flow may be offered to one wait queue; an offer to a second, shorter one must be
-        // covered by the retry budget.
+        // A flow may ask one wait queue; a second, shorter one must be covered by the retry budget.
         let is_paid = self.pool.take_offer(now, &pending.service, pending.offer_count);
         if !is_paid && pending.has_tried_wait_queue() {
             return false;
@@ -274,12 +264,11 @@
         offer.answer = OfferAnswer::Queued;
         self.counters.openings_queued += 1;
         // The agent reports the outcome before this time; otherwise the caller's attempt is over.
-        let remaining = pending.remaining_wait(now).unwrap_or_default();
+        let remaining = pending.wait_left(now).unwrap_or_default();
         self.pending_flows.wake_at(number, now + remaining + WAIT_QUEUE_REPLY_MARGIN);
     }
 
-    /// Checks, when a retransmitted SYN arrives, the agent in whose wait queue the flow is: if that
-    /// agent is suspect, the flow is offered to another one.
+    /// Offers a flow to another agent on a retransmitted SYN, if that of its wait queue is suspect.
     fn check_queued_agent(&mut self, now: Duration, number: u64) {
         let interval = self.cluster.membership.interval();
         let Some(pending) = self.pending_flows.get_mut(number) else { return };
@@ -300,8 +289,7 @@
         let admission = match (pending.is_last_resort, pending.wants_queue) {
             _ if pending.wants_wait_queue => Admission::WaitQueue {
                 within_ms: if is_late { 0 } else { budget_ms.min(u32::from(u16::MAX)) as u16 },
-                attempt_remaining_ms: pending.remaining_wait(now).unwrap_or_default().as_millis()
-                    as u16,
+                attempt_remaining_ms: pending.wait_left(now).unwrap_or_default().as_millis() as u16,
                 priority: pending.priority,
             },
             (true, _) => Admission::Failing(budget_ms),
--- a/crates/carried/src/pending_flow.rs
+++ b/crates/carried/src/pending_flow.rs
@@ -88,7 +88,7 @@
 /// `syn` is the first SYN of the attempt that this balancer got, and `first_arrived_at` the
 /// earliest time at which it can have arrived. The `acknowledgement` field of a SYN holds the
 /// number of the retransmission.
-fn remaining_wait(now: Duration, syn: &Segment, first_arrived_at: Duration) -> Option<Duration> {
+fn wait_left(now: Duration, syn: &Segment, first_arrived_at: Duration) -> Option<Duration> {
     let sent_after = SYN_SEND_OFFSETS.get(syn.acknowledgement as usize);
     let sent_after = sent_after.copied().unwrap_or(SYN_SEND_OFFSETS[SYN_SEND_OFFSETS.len() - 1]);
     let max_wait = ATTEMPT_TIMEOUT.saturating_sub(sent_after).saturating_sub(ATTEMPT_MARGIN);
@@ -99,7 +99,7 @@
 impl ReceivedSyn {
     /// Whether the caller continues its attempt for long enough.
     pub(crate) fn is_caller_waiting(&self, now: Duration) -> bool {
-        remaining_wait(now, &self.segment, self.first_arrived_at).is_some()
+        wait_left(now, &self.segment, self.first_arrived_at).is_some()
     }
 
     /// Whether one of the two packets is a retransmission of the other.
@@ -186,8 +186,8 @@
 
     /// How long the flow may wait for room, which is as long as its caller's attempt lasts; `None`
     /// if that is too short.
-    pub(crate) fn remaining_wait(&self, now: Duration) -> Option<Duration> {
-        remaining_wait(now, &self.segment, self.first_arrived_at)
+    pub(crate) fn wait_left(&self, now: Duration) -> Option<Duration> {
+        wait_left(now, &self.segment, self.first_arrived_at)
     }
 
     /// Number of wait queues that the flow may still be offered to.
--- a/crates/carried/tests/admission_pause.rs
+++ b/crates/carried/tests/admission_pause.rs
@@ -24,7 +24,7 @@
 fn resumed_balancer() -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     for agent in 1..=20 {
-        send_report(&mut balancer, milliseconds(0), agent, load());
+        send(&mut balancer, milliseconds(0), agent, load());
     }
     outputs_of(&mut balancer);
     balancer.resume(RESUMED_AT);
--- a/crates/carried/tests/audit.rs
+++ b/crates/carried/tests/audit.rs
@@ -46,7 +46,7 @@
                     condition: BackendCondition::Accepting,
                     ..LoadReport::default()
                 };
-                send_report(balancer, milliseconds(at), *agent, report);
+                send(balancer, milliseconds(at), *agent, report);
             }
         }
         balancer.handle_timeout(milliseconds(at));
@@ -175,7 +175,7 @@
         condition: BackendCondition::Ended,
         ..LoadReport::default()
     };
-    send_report(&mut balancer, milliseconds(20 * SECOND), 2, ended);
+    send(&mut balancer, milliseconds(20 * SECOND), 2, ended);
     let list = [
         listed(balancer_address(), NodeRole::Balancer),
         listed(agent_address(1), NodeRole::Agent),
--- a/crates/carried/tests/balancer.rs
+++ b/crates/carried/tests/balancer.rs
@@ -31,7 +31,7 @@
 fn balancer(agents: u8) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     for agent in 1..=agents {
-        send_report(&mut balancer, milliseconds(0), agent, load(SERVICE, 0));
+        send(&mut balancer, milliseconds(0), agent, load(SERVICE, 0));
     }
     outputs_of(&mut balancer);
     balancer
@@ -44,7 +44,7 @@
 fn settled_balancer(agents: u8) -> CarriedBalancer {
     let mut balancer = balancer(agents);
     for agent in 1..=agents {
-        send_report(&mut balancer, SETTLED_AT, agent, load(SERVICE, 0));
+        send(&mut balancer, SETTLED_AT, agent, load(SERVICE, 0));
     }
     outputs_of(&mut balancer);
     balancer
@@ -146,7 +146,7 @@
 #[test]
 fn an_answer_from_an_agent_that_was_not_asked_places_nothing() {
     let mut balancer = balancer(2);
-    send_report(&mut balancer, milliseconds(0), 9, load("sheets", 0));
+    send(&mut balancer, milliseconds(0), 9, load("sheets", 0));
     balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
     let offer = offers(&outputs_of(&mut balancer))[0];
     let placed = Message::Placed { number: offer.1, report: load("sheets", 1) };
@@ -158,7 +158,7 @@
 #[test]
 fn a_retransmitted_syn_never_goes_to_an_agent_of_another_service() {
     let mut balancer = balancer(1);
-    send_report(&mut balancer, milliseconds(0), 9, load("sheets", 0));
+    send(&mut balancer, milliseconds(0), 9, load("sheets", 0));
     // A wrong record: an agent of another service is taken to own the flow.
     let held = reply(1, FlowStatus::Owned);
     balancer.handle_peer(milliseconds(1), agent_address(9), &held.encode());
@@ -174,7 +174,7 @@
         let settings = balancer_settings(seed);
         let mut balancer = CarriedBalancer::new(settings, PlainFormat);
         balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
-        send_report(&mut balancer, milliseconds(0), 1, load(SERVICE, 0));
+        send(&mut balancer, milliseconds(0), 1, load(SERVICE, 0));
         balancer.handle_caller(milliseconds(1), &packet(&syn(1)));
         offers(&outputs_of(&mut balancer))[0].1
     };
@@ -244,7 +244,7 @@
 #[test]
 fn parts_of_a_route_get_their_weights_share() {
     let mut balancer = balancer(1);
-    send_report(&mut balancer, milliseconds(0), 9, load("sheets", 0));
+    send(&mut balancer, milliseconds(0), 9, load("sheets", 0));
     let mut split = route(service_address(), SERVICE);
     split.targets[0].weight = 9;
     split.targets.push(loftdrift_carried::RouteTarget { service: "sheets".to_owned(), weight: 1 });
@@ -286,8 +286,8 @@
 #[test]
 fn an_agent_that_has_just_reported_that_it_is_full_is_only_asked_for_a_place_in_its_queue() {
     let mut balancer = balancer(2);
-    send_report(&mut balancer, milliseconds(1), 1, load(SERVICE, 4));
-    send_report(&mut balancer, milliseconds(1), 2, load(SERVICE, 4));
+    send(&mut balancer, milliseconds(1), 1, load(SERVICE, 4));
+    send(&mut balancer, milliseconds(1), 2, load(SERVICE, 4));
     balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
     let mut asked = Vec::new();
     loop {
@@ -317,7 +317,7 @@
 fn a_failing_back_end_is_used_only_if_there_is_no_other() {
     let failing = LoadReport { condition: BackendCondition::Failing, ..load(SERVICE, 0) };
     let mut balancer = balancer(2);
-    send_report(&mut balancer, milliseconds(1), 1, failing.clone());
+    send(&mut balancer, milliseconds(1), 1, failing.clone());
     balancer.handle_caller(milliseconds(2), &packet(&syn(1)));
     let offer = offers(&outputs_of(&mut balancer))[0];
     assert_eq!(offer.0, agent_address(2));
--- a/crates/carried/tests/choice.rs
+++ b/crates/carried/tests/choice.rs
@@ -32,9 +32,9 @@
     let mut balancer = new_balancer(1);
     let now = milliseconds(10);
     for agent in 1..=6 {
-        send_report(&mut balancer, now, agent, load_report(1, WORK_US));
+        send(&mut balancer, now, agent, load_report(1, WORK_US));
     }
-    send_report(&mut balancer, now, 7, load_report(3, 0));
+    send(&mut balancer, now, 7, load_report(3, 0));
     for port in 1..=12 {
         let chosen = first_offer(&mut balancer, now, port).0;
         assert_ne!(chosen, agent_address(7), "flow {port} went to a busier agent");
@@ -46,10 +46,10 @@
     let mut balancer = new_balancer(1);
     let now = milliseconds(10);
     for agent in 1..=6 {
-        send_report(&mut balancer, now, agent, load_report(1, WORK_US));
+        send(&mut balancer, now, agent, load_report(1, WORK_US));
     }
     let outdated = LoadReport { measured_ms_ago: 60_000, ..load_report(3, WORK_US) };
-    send_report(&mut balancer, now, 7, outdated);
+    send(&mut balancer, now, 7, outdated);
     for port in 1..=12 {
         let chosen = first_offer(&mut balancer, now, port).0;
         assert_ne!(chosen, agent_address(7), "flow {port} went to a busier agent");
@@ -63,7 +63,7 @@
     for seed in 0..100 {
         let mut balancer = new_balancer(seed);
         for agent in 1..=20 {
-            send_report(
+            send(
                 &mut balancer,
                 milliseconds(10),
                 agent,
@@ -81,7 +81,7 @@
     for seed in 0..20 {
         let mut balancer = new_balancer(seed);
         for agent in 1..=7 {
-            send_report(
+            send(
                 &mut balancer,
                 milliseconds(10),
                 agent,
@@ -97,10 +97,10 @@
     let mut balancer = new_balancer(1);
     let now = milliseconds(10);
     for agent in 1..=10 {
-        send_report(&mut balancer, now, agent, load_report(4, WORK_US / 2));
+        send(&mut balancer, now, agent, load_report(4, WORK_US / 2));
     }
     for agent in 11..=14 {
-        send_report(&mut balancer, now, agent, load_report(0, WORK_US));
+        send(&mut balancer, now, agent, load_report(0, WORK_US));
     }
     let mut offer = first_offer(&mut balancer, milliseconds(11), 1);
     let mut asked = vec![offer.0];
@@ -162,7 +162,7 @@
     let work_us = |agent: u8| if agent == 1 { 3 * WORK_US } else { WORK_US };
     let mut balancer = new_balancer(1);
     for agent in 1..=6 {
-        send_report(&mut balancer, milliseconds(10), agent, load_report(0, work_us(agent)));
+        send(&mut balancer, milliseconds(10), agent, load_report(0, work_us(agent)));
     }
     for port in 1..=30 {
         let (chosen, number) = first_offer(&mut balancer, milliseconds(11), port);
--- a/crates/carried/tests/delegated_reads.rs
+++ b/crates/carried/tests/delegated_reads.rs
@@ -15,7 +15,7 @@
         CarriedBalancer::new(CarriedBalancerSettings { node, ..balancer_settings(1) }, PlainFormat);
     for agent in 1..=3 {
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
-        send_report(&mut balancer, milliseconds(0), agent, report);
+        send(&mut balancer, milliseconds(0), agent, report);
     }
     outputs_of(&mut balancer);
     balancer
@@ -42,7 +42,7 @@
     balancer.note_store(milliseconds(2_100), false);
     for agent in 1..=3 {
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
-        send_report(&mut balancer, milliseconds(2_000), agent, report);
+        send(&mut balancer, milliseconds(2_000), agent, report);
     }
     let requests = read_requests(&mut balancer, 2_000, 3_000);
     assert_eq!(requests.len(), 1, "{requests:?}");
@@ -59,7 +59,7 @@
     assert_eq!(read_requests(&mut balancer, 1_100, 2_400), [], "the confirmation is recent");
     for agent in 1..=3 {
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
-        send_report(&mut balancer, milliseconds(2_400), agent, report);
+        send(&mut balancer, milliseconds(2_400), agent, report);
     }
     let requests = read_requests(&mut balancer, 2_400, 3_400);
     assert!((1..=2).contains(&requests.len()), "{requests:?}");
@@ -73,7 +73,7 @@
     balancer.note_store(milliseconds(2_000), true);
     for agent in 1..=3 {
         let report = LoadReport { service: SERVICE.to_owned(), ..LoadReport::default() };
-        send_report(&mut balancer, milliseconds(3_000), agent, report);
+        send(&mut balancer, milliseconds(3_000), agent, report);
     }
     let requests = read_requests(&mut balancer, 2_000, 5_000);
     let two_thirds = 2_000 + CONFIGURATION_BOUND.as_millis() as u64 * 2 / 3;
--- a/crates/carried/tests/lookups.rs
+++ b/crates/carried/tests/lookups.rs
@@ -30,7 +30,7 @@
     let list: Vec<_> = (1..=agents).map(|agent| (agent_address(agent), NodeRole::Agent)).collect();
     balancer.learn_members(milliseconds(0), &list);
     for agent in 1..=agents {
-        send_report(&mut balancer, milliseconds(0), agent, load());
+        send(&mut balancer, milliseconds(0), agent, load());
     }
     outputs_of(&mut balancer);
     balancer
@@ -74,8 +74,7 @@
     settle(balancer, now)
 }
 
-/// Answers every query with the agent's answer as given by `status_of`, until no more are sent,
-/// and returns all outputs.
+/// Answers every query as given by `status_of`, until no more are sent, and returns all outputs.
 fn answer_all(
     balancer: &mut CarriedBalancer,
     now: Duration,
@@ -127,7 +126,7 @@
     // The silent agent may be partitioned or frozen, its flows still open. The others report.
     for at in (100..14_000).step_by(100) {
         for agent in (1..=7).filter(|agent| agent_address(*agent) != silent) {
-            send_report(&mut balancer, milliseconds(at), agent, load());
+            send(&mut balancer, milliseconds(at), agent, load());
         }
         if at % 1_000 == 0 {
             balancer.handle_caller(milliseconds(at), &packet(&request()));
@@ -145,7 +144,7 @@
 fn a_departed_agent_does_not_block_a_lookup() {
     let mut balancer = informed_balancer(7);
     let ended = LoadReport { condition: BackendCondition::Ended, ..load() };
-    send_report(&mut balancer, milliseconds(1), 3, ended);
+    send(&mut balancer, milliseconds(1), 3, ended);
     balancer.handle_caller(milliseconds(2), &packet(&request()));
     let gone = agent_address(3);
     let deny = |agent| (agent != gone).then_some(FlowStatus::Absent);
@@ -160,7 +159,7 @@
 fn an_agent_whose_departure_notice_is_old_is_asked() {
     let mut balancer = informed_balancer(7);
     let ended = LoadReport { condition: BackendCondition::Ended, ..load() };
-    send_report(&mut balancer, milliseconds(1), 3, ended);
+    send(&mut balancer, milliseconds(1), 3, ended);
     // The balancer's process was stalled; meanwhile the agent's next back end has accepted flows.
     balancer.resume(milliseconds(4_000));
     outputs_of(&mut balancer);
@@ -189,13 +188,13 @@
 fn a_balancer_that_has_not_read_the_list_resets_no_caller_for_seconds() {
     let mut balancer = new_balancer(1);
     for agent in 1..=3 {
-        send_report(&mut balancer, milliseconds(0), agent, load());
+        send(&mut balancer, milliseconds(0), agent, load());
     }
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     let outputs = answer_all(&mut balancer, milliseconds(3), |_| Some(FlowStatus::Absent));
     assert_eq!(resets(&outputs), 0, "there may be other agents");
     for agent in 1..=3 {
-        send_report(&mut balancer, milliseconds(5_100), agent, load());
+        send(&mut balancer, milliseconds(5_100), agent, load());
     }
     balancer.handle_caller(milliseconds(5_100), &packet(&request()));
     let outputs = answer_all(&mut balancer, milliseconds(5_101), |_| Some(FlowStatus::Absent));
@@ -263,7 +262,7 @@
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     run_timers(&mut balancer, 10, 99);
     for agent in 1..=3 {
-        send_report(&mut balancer, milliseconds(100), agent, restarted.clone());
+        send(&mut balancer, milliseconds(100), agent, restarted.clone());
     }
     run_timers(&mut balancer, 100, 119);
     balancer.handle_caller(milliseconds(120), &packet(&request()));
@@ -281,7 +280,7 @@
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     // All started together. The agents report 0.9 s later, but one of them is missing by then.
     for agent in 1..=3 {
-        send_report(&mut balancer, milliseconds(900), agent, restarted.clone());
+        send(&mut balancer, milliseconds(900), agent, restarted.clone());
     }
     balancer.handle_caller(milliseconds(950), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
@@ -295,7 +294,7 @@
     let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
     for agent in 1..=3 {
-        send_report(&mut balancer, milliseconds(100), agent, restarted.clone());
+        send(&mut balancer, milliseconds(100), agent, restarted.clone());
     }
     balancer.handle_caller(milliseconds(800), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
@@ -307,14 +306,9 @@
     let restarted = LoadReport { backend_age_ms: Some(100), ..load() };
     let mut balancer = informed_balancer(0);
     balancer.learn_members(milliseconds(10), &[(agent_address(9), NodeRole::Agent)]);
-    send_report(&mut balancer, milliseconds(100), 1, restarted.clone());
-    send_report(&mut balancer, milliseconds(100), 2, restarted);
-    send_report(
-        &mut balancer,
-        milliseconds(100),
-        3,
-        LoadReport { backend_age_ms: Some(9_000), ..load() },
-    );
+    send(&mut balancer, milliseconds(100), 1, restarted.clone());
+    send(&mut balancer, milliseconds(100), 2, restarted);
+    send(&mut balancer, milliseconds(100), 3, LoadReport { backend_age_ms: Some(9_000), ..load() });
     balancer.handle_caller(milliseconds(400), &packet(&request()));
     let deny = |agent| (agent != agent_address(9)).then_some(FlowStatus::Absent);
     assert_eq!(resets(&answer_all(&mut balancer, milliseconds(401), deny)), 0);
@@ -338,15 +332,12 @@
     let mut balancer = informed_balancer(1);
     balancer.handle_caller(milliseconds(1), &packet(&request()));
     outputs_of(&mut balancer);
-    let unknown_node = address("10.9.9.9:7720");
+    let unknown = address("10.9.9.9:7720");
     for message in [reply(1, FlowStatus::Owned), Message::Ended { flow: flow_named(1) }] {
-        balancer.handle_peer(milliseconds(2), unknown_node, &message.encode());
+        balancer.handle_peer(milliseconds(2), unknown, &message.encode());
         assert_eq!(outputs_of(&mut balancer), []);
     }
-    assert_eq!(
-        resets(&answer(&mut balancer, milliseconds(2), unknown_node, FlowStatus::Absent)),
-        0
-    );
+    assert_eq!(resets(&answer(&mut balancer, milliseconds(2), unknown, FlowStatus::Absent)), 0);
     balancer.handle_peer(milliseconds(2), agent_address(1), &reply(2, FlowStatus::Absent).encode());
     assert_eq!(outputs_of(&mut balancer), []);
     assert_eq!(balancer.counters(milliseconds(2)).answers_unexpected, 4);
--- a/crates/carried/tests/lookups_after_restart.rs
+++ b/crates/carried/tests/lookups_after_restart.rs
@@ -30,7 +30,7 @@
     balancer.learn_members(milliseconds(0), &list);
     run_timers(&mut balancer, 0, 100);
     for agent in 1..=AGENTS {
-        send_report(&mut balancer, milliseconds(100), agent, report(agent));
+        send(&mut balancer, milliseconds(100), agent, report(agent));
     }
     outputs_of(&mut balancer);
     balancer
@@ -114,7 +114,7 @@
     // Three seconds later one agent's process is replaced; the balancer has its earlier report.
     run_timers(&mut balancer, 101, 3_100);
     for agent in 1..=AGENTS {
-        send_report(
+        send(
             &mut balancer,
             milliseconds(3_100),
             agent,
--- a/crates/carried/tests/recovery.rs
+++ b/crates/carried/tests/recovery.rs
@@ -45,7 +45,7 @@
 
 fn with_agents(mut balancer: CarriedBalancer) -> CarriedBalancer {
     for agent in 1..=AGENTS {
-        send_report(&mut balancer, milliseconds(0), agent, full_report());
+        send(&mut balancer, milliseconds(0), agent, full_report());
     }
     outputs_of(&mut balancer);
     balancer
@@ -159,7 +159,7 @@
     for port in 1..=flows {
         let now = milliseconds(2_000 + 2 * u64::from(port));
         for agent in 1..=AGENTS {
-            send_report(&mut balancer, now, agent, full_report());
+            send(&mut balancer, now, agent, full_report());
         }
         balancer.handle_timeout(now);
         balancer.handle_caller(now, &packet(&syn(port)));
--- a/crates/carried/tests/scheduling_delay.rs
+++ b/crates/carried/tests/scheduling_delay.rs
@@ -31,7 +31,7 @@
     let mut balancer = CarriedBalancer::new(settings, PlainFormat);
     balancer.adopt(milliseconds(0), configuration(1, vec![route(service_address(), SERVICE)]));
     for agent in 1..=AGENTS {
-        send_report(&mut balancer, milliseconds(0), agent, idle_report());
+        send(&mut balancer, milliseconds(0), agent, idle_report());
     }
     balancer.handle_timeout(milliseconds(0));
     outputs_of(&mut balancer);
--- a/crates/carried/tests/stale_input.rs
+++ b/crates/carried/tests/stale_input.rs
@@ -13,7 +13,7 @@
     let condition = BackendCondition::Accepting;
     let report =
         LoadReport { service: SERVICE.to_owned(), condition, capacity: 4, ..LoadReport::default() };
-    send_report(&mut balancer, milliseconds(0), 1, report);
+    send(&mut balancer, milliseconds(0), 1, report);
     outputs_of(&mut balancer);
     balancer
 }
--- a/crates/carried/tests/support/mod.rs
+++ b/crates/carried/tests/support/mod.rs
@@ -168,7 +168,7 @@
 }
 
 /// Sends a balancer the load report of an agent in zone `a`.
-pub fn send_report(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
+pub fn send(balancer: &mut CarriedBalancer, now: Duration, agent: u8, report: LoadReport) {
     send_load(balancer, now, agent_address(agent), report);
 }
 
--- a/crates/carried/tests/wait_queue_at_balancer.rs
+++ b/crates/carried/tests/wait_queue_at_balancer.rs
@@ -28,7 +28,7 @@
 fn balancer_with(agents: u8) -> CarriedBalancer {
     let mut balancer = new_balancer(1);
     for agent in 1..=agents {
-        send_report(&mut balancer, milliseconds(0), agent, load(8));
+        send(&mut balancer, milliseconds(0), agent, load(8));
     }
     outputs_of(&mut balancer);
     balancer
@@ -82,7 +82,7 @@
         let outputs = outputs_of(&mut balancer);
         assert_eq!((first_offer(&outputs), resets(&outputs)), (None, 0), "at {at}");
         if at % 100 == 0 {
-            (1..=3).for_each(|agent| send_report(&mut balancer, milliseconds(at), agent, load(8)));
+            (1..=3).for_each(|agent| send(&mut balancer, milliseconds(at), agent, load(8)));
             outputs_of(&mut balancer);
         }
     }
@@ -117,7 +117,7 @@
     // Only the other agents send reports from here on.
     for at in (100..=1_100).step_by(100) {
         for other in (1..=3).filter(|other| agent_address(*other) != agent) {
-            send_report(&mut balancer, milliseconds(at), other, load(8));
+            send(&mut balancer, milliseconds(at), other, load(8));
         }
     }
     outputs_of(&mut balancer);
@@ -130,8 +130,8 @@
 #[test]
 fn a_flow_that_the_last_wait_queue_declines_is_offered_to_a_failing_back_end() {
     let mut balancer = new_balancer(1);
-    send_report(&mut balancer, milliseconds(0), 1, load(8));
-    send_report(&mut balancer, milliseconds(0), 2, failing());
+    send(&mut balancer, milliseconds(0), 1, load(8));
+    send(&mut balancer, milliseconds(0), 2, failing());
     outputs_of(&mut balancer);
     let retransmission = Segment { acknowledgement: 1, ..syn(1) };
     balancer.handle_caller(milliseconds(1), &packet(&retransmission));
@@ -172,7 +172,7 @@
     configure(&mut balancer, 1_000);
     balancer.handle_timeout(milliseconds(1_000));
     assert_eq!(first_offer(&outputs_of(&mut balancer)), None, "no agent is known yet");
-    send_report(&mut balancer, milliseconds(1_150), 1, load(0));
+    send(&mut balancer, milliseconds(1_150), 1, load(0));
     balancer.handle_timeout(milliseconds(1_160));
     let (_, _, admission) = first_offer(&outputs_of(&mut balancer)).expect("an offer");
     let Admission::WaitQueue { attempt_remaining_ms, .. } = admission else {
@@ -187,7 +187,7 @@
     balancer.handle_caller(milliseconds(100), &packet(&syn(1)));
     balancer.handle_caller(milliseconds(1_400), &packet(&syn(2)));
     configure(&mut balancer, 1_600);
-    send_report(&mut balancer, milliseconds(1_600), 1, load(0));
+    send(&mut balancer, milliseconds(1_600), 1, load(0));
     balancer.handle_timeout(milliseconds(1_600));
     assert_eq!(offers(&outputs_of(&mut balancer)).len(), 1);
 }
@@ -200,7 +200,7 @@
     // This retransmission is sent 0.6 s after the first SYN. The attempt ends 0.8 s later, and the
     // caller may then reuse its port.
     configure(&mut balancer, 1_000);
-    send_report(&mut balancer, milliseconds(1_000), 1, load(0));
+    send(&mut balancer, milliseconds(1_000), 1, load(0));
     balancer.handle_timeout(milliseconds(1_000));
     assert_eq!(offers(&outputs_of(&mut balancer)), []);
 }
@@ -210,7 +210,7 @@
     let mut balancer = unconfigured();
     (1..=200).for_each(|port| balancer.handle_caller(milliseconds(100), &packet(&syn(port))));
     configure(&mut balancer, 200);
-    (1..=20).for_each(|agent| send_report(&mut balancer, milliseconds(200), agent, load(0)));
+    (1..=20).for_each(|agent| send(&mut balancer, milliseconds(200), agent, load(0)));
     let mut most = 0;
     let mut all = 0;
     for at in 200..400 {
